--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -535,10 +535,10 @@
             if call_id is None:
                 break
             call = self._calls[call_id]
-            unserved = pool.unserved(call, now)
-            if unserved is not None:
+            unavailable = pool.unavailable(call, now)
+            if unavailable is not None:
                 pool.queue.remove(call_id)
-                reason, after_s = unserved.reason, unserved.retry_after_s
+                reason, after_s = unavailable.reason, unavailable.retry_after_s
                 actions.append(self._give_up(pool, call, reason, after_s))
                 continue
             if self._restrict(pool, call, now, actions):
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -113,12 +113,12 @@
         return self._latency.value
 
     @property
-    def tells(self) -> bool:
+    def reports_stretch(self) -> bool:
         """Tell whether endpoints say how long work takes."""
         return bool(self._stretches)
 
     @property
-    def tells_nothing(self) -> bool:
+    def never_reports(self) -> bool:
         """Tell whether endpoints are known to say nothing of their load."""
         return self._tells_nothing
 
@@ -198,7 +198,9 @@
                 continue
             if not floor and not self._open(endpoint, trial, now):
                 continue
-            (silent if endpoint.muted(now) else open_ones).append(endpoint)
+            (silent if endpoint.is_unreachable(now) else open_ones).append(
+                endpoint
+            )
         return open_ones or silent
 
     def slot(self, endpoint: Endpoint, now: float) -> int:
@@ -212,10 +214,10 @@
             return False
         return self.warm_up.allows(endpoint, now)
 
-    def closed(self, now: float) -> bool:
+    def must_refuse(self, now: float) -> bool:
         """Tell whether all endpoints are cold and this entry uses none."""
         for endpoint in self._order:
-            if not self.warm_up.closes(endpoint, now):
+            if not self.warm_up.excludes(endpoint, now):
                 return False
         return bool(self._order)
 
@@ -223,27 +225,30 @@
         """Estimate when a call sent now would be answered, in seconds."""
         mean_s = self._latency.value
         kept_s = REPORT_KEPT * mean_s
-        load = endpoint.in_flight + endpoint.others(
+        load = endpoint.in_flight + endpoint.estimate_others(
             self._others.value, kept_s, now
         )
         slots = endpoint.slots
         over = load + 1.0 - slots
         waiting = (over + sqrt(over * over + SPREAD)) / 2.0
         score = mean_s * (1.0 + waiting / slots)
-        score *= endpoint.pace(self._stretch.value, now) / self._stretch.value
+        score *= (
+            endpoint.estimate_stretch(self._stretch.value, now)
+            / self._stretch.value
+        )
         if not endpoint.local:
             score += OTHER_ZONE_S
         if nearly_full(endpoint, load):
             score *= self.fullness.factor
         band_s = LATENCY_BAND * mean_s
         if endpoint.latency_s > band_s:
-            score *= max(1.0, endpoint.latency(mean_s, now) / band_s)
+            score *= max(1.0, endpoint.estimate_latency(mean_s, now) / band_s)
         if endpoint.stalled or self._stalls:
             score *= 1.0 + SUSPECT_FACTOR * self._suspicion(endpoint, now)
         if endpoint.is_cold(now):
             score *= SLOWDOWN
         elif endpoint.joined_at is not None:
-            score *= endpoint.coldness(now)
+            score *= endpoint.warm_up_factor(now)
         return score
 
     def _suspicion(self, endpoint: Endpoint, now: float) -> float:
@@ -256,7 +261,7 @@
             suspicion += STALL_S / (STALL_S + now - zone.at)
         return suspicion
 
-    def hear_load(
+    def record_load(
         self,
         endpoint: Endpoint,
         load: int,
@@ -264,7 +269,7 @@
         stretch: float | None = None,
     ) -> None:
         """Take an endpoint's load report."""
-        endpoint.hear_load(load, now, stretch)
+        endpoint.record_load(load, now, stretch)
         self._others.learn(endpoint.reported_others)
         self._tells_nothing = False
         if stretch is not None:
@@ -282,7 +287,7 @@
         if len(self._recent) > RECENT:
             del self._recent[next(iter(self._recent))]
 
-    def hear_untold(self) -> None:
+    def record_no_report(self) -> None:
         """Take an answer that tells neither load nor pace.
 
         The endpoints of some services tell nothing. A question costs them
@@ -293,18 +298,18 @@
             self._stretches = False
             self._tells_nothing = True
 
-    def hear_answer(
+    def record_answer(
         self, endpoint: Endpoint, latency_s: float, now: float
     ) -> None:
         """Take the time of an answer, in seconds."""
         if self._policy.latency:
-            endpoint.hear_latency(latency_s, now)
+            endpoint.record_latency(latency_s, now)
         self._latency.learn(latency_s)
-        endpoint.succeed()
+        endpoint.record_success()
         self._stalls.pop(endpoint.zone, None)
         self._ejected.discard(endpoint)
 
-    def hear_stall(
+    def record_stall(
         self, endpoint: Endpoint, elapsed_s: float, now: float
     ) -> None:
         """Take word that an answer is late, before it is known to be lost.
@@ -318,19 +323,19 @@
         endpoint.stalled += 1
         endpoint.stalled_at = now
         if self._policy.latency:
-            endpoint.hear_late(elapsed_s, now)
+            endpoint.record_late(elapsed_s, now)
         zone = self._stalls.setdefault(endpoint.zone, ZoneStalls())
         zone.addresses.add(endpoint.address)
         zone.at = now
 
-    def hear_failure(self, endpoint: Endpoint, now: float) -> None:
+    def record_failure(self, endpoint: Endpoint, now: float) -> None:
         """Take word that an attempt failed at an endpoint."""
         if endpoint not in self._members or not self._policy.ejection:
             return
-        if endpoint.fail(now):
+        if endpoint.record_failure(now):
             self._ejected.add(endpoint)
 
-    def crowded(self, endpoint: Endpoint, load: int) -> bool:
+    def is_overloaded(self, endpoint: Endpoint, load: int) -> bool:
         """Tell whether an endpoint has more work than does it good.
 
         Where endpoints tell how long work takes, a call waits here, from
@@ -343,7 +348,7 @@
             return nearly_full(endpoint, load)
         return load >= endpoint.slots
 
-    def to_ask(
+    def endpoints_to_query(
         self, avoid: list[str], near: bool, now: float
     ) -> list[Endpoint]:
         """Return whom to ask before a call is sent; none where it is known.
@@ -363,7 +368,7 @@
                 continue
             if not floor and endpoint in self._ejected:
                 continue
-            if endpoint.muted(now):
+            if endpoint.is_unreachable(now):
                 continue
             if self.fullness.slot(endpoint, now) == FREE_SLOT:
                 return []
@@ -371,11 +376,11 @@
         found.sort(key=lambda one: self.score(one, now))
         return found[:1]
 
-    def suspect(self, now: float) -> Endpoint | None:
+    def next_ejected(self, now: float) -> Endpoint | None:
         """Return the ejected endpoint that was not asked for longest."""
         best = None
         for endpoint in self._order:
-            if endpoint not in self._ejected or endpoint.alive:
+            if endpoint not in self._ejected or endpoint.answered_probe:
                 continue
             if now < endpoint.ejected_until:
                 continue
@@ -383,16 +388,16 @@
                 best = endpoint
         return best
 
-    def hear_sign_of_life(self, endpoint: Endpoint) -> None:
+    def record_probe_answer(self, endpoint: Endpoint) -> None:
         """Take a probe's answer: a trial may follow."""
-        endpoint.alive = True
+        endpoint.answered_probe = True
 
     def _open(self, endpoint: Endpoint, trial: bool, now: float) -> bool:
         if endpoint not in self._ejected:
             return True
         if now < endpoint.ejected_until or not trial or endpoint.in_flight:
             return False
-        if not self.probed or endpoint.alive:
+        if not self.probed or endpoint.answered_probe:
             return True
         # A trial that fails costs a caller time, a probe does not. An
         # endpoint that answers no probe, say for a wrong path in the
--- a/packages/core/nutmegchute_core/eligibility.py
+++ b/packages/core/nutmegchute_core/eligibility.py
@@ -23,7 +23,7 @@
 WARMING = "every endpoint is warming up and left to other entries"
 
 
-class Unserved:
+class Unavailable:
     """Say why a call cannot be served, and when to come back.
 
     Without ``retry_after_s`` that is when those who wait are through.
@@ -76,7 +76,9 @@
         self._endpoints = endpoints
         for endpoint in endpoints.values():
             endpoint.evacuated = endpoint.zone in self._evacuated
-        self._chooser.update([one for one in endpoints.values() if one.open])
+        self._chooser.update(
+            [one for one in endpoints.values() if one.accepts_calls]
+        )
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
         """Take the availability zones that get nothing from now on.
@@ -87,42 +89,44 @@
         taken_back = self._evacuated - zones
         for endpoint in self._endpoints.values():
             if endpoint.zone in taken_back:
-                self.hear_cold(endpoint, self._service.warm_up_s, now)
+                self.record_cold(endpoint, self._service.warm_up_s, now)
         self._evacuated = zones
         self.update(self._endpoints)
 
-    def hear_cold(self, endpoint: Endpoint, cold_s: float, now: float) -> None:
+    def record_cold(
+        self, endpoint: Endpoint, cold_s: float, now: float
+    ) -> None:
         """Take word of how long an endpoint is still cold."""
         if self._chooser.warm_up.applies:
             endpoint.cold_until = now + cold_s
 
-    def idle(self, avoid: list[str], now: float) -> str | None:
+    def find_idle(self, avoid: list[str], now: float) -> str | None:
         """Return an endpoint that runs nothing, as far as is known."""
         for address, endpoint in self._endpoints.items():
             if address not in avoid and self._is_idle(endpoint, now):
                 return address
         return None
 
-    def unserved(self, now: float) -> Unserved | None:
+    def unavailable(self, now: float) -> Unavailable | None:
         """Say why no call can be served here now, if so."""
         if self._chooser.is_empty:
             if not any(one.evacuated for one in self._endpoints.values()):
                 return None
             pause_s = self._random.uniform(*EVACUATED_RETRY_S)
-            return Unserved(EVACUATED, pause_s)
-        if not self._chooser.closed(now):
+            return Unavailable(EVACUATED, pause_s)
+        if not self._chooser.must_refuse(now):
             return None
         pause_s = self._random.uniform(*WARMING_RETRY_S)
-        return Unserved(WARMING, pause_s)
+        return Unavailable(WARMING, pause_s)
 
     def _is_idle(self, endpoint: Endpoint, now: float) -> bool:
-        if endpoint.in_flight or endpoint.muted(now):
+        if endpoint.in_flight or endpoint.is_unreachable(now):
             return False
-        if not endpoint.open or now < endpoint.ejected_until:
+        if not endpoint.accepts_calls or now < endpoint.ejected_until:
             return False
         if not self._chooser.warm_up.allows(endpoint, now):
             return False
-        if not self._chooser.tells:
+        if not self._chooser.reports_stretch:
             return True
         age_s = endpoint.report_age_s(now)
         if age_s is None or age_s > IDLE_REPORT_S:
--- a/packages/core/nutmegchute_core/endpoints.py
+++ b/packages/core/nutmegchute_core/endpoints.py
@@ -15,8 +15,8 @@
 STRETCH_KEPT_S = 0.1
 
 EJECT_AFTER = 3
-EJECT_FIRST_S = 0.5
-EJECT_MOST_S = 8.0
+FIRST_EJECTION_S = 0.5
+MAX_EJECTION_S = 8.0
 
 # One that takes no connection is left alone for so long, doubled each time.
 MUTE_FIRST_S = 0.25
@@ -42,7 +42,7 @@
         "_others",
         "_stretch",
         "_sent_at",
-        "alive",
+        "answered_probe",
         "cold_until",
         "ejected_until",
         "evacuated",
@@ -77,7 +77,7 @@
         self.stalled = 0
         self.stalled_at = 0.0
         self.probed_at = 0.0
-        self.alive = False
+        self.answered_probe = False
         # Until when it is slow after its start, as it tells itself.
         self.cold_until = -inf
         self._sent_at: deque[float] = deque(maxlen=PACED_SENDS)
@@ -110,11 +110,11 @@
         return self._announcement.state == DRAINING
 
     @property
-    def open(self) -> bool:
+    def accepts_calls(self) -> bool:
         """Tell whether calls may be sent there at all."""
         return not (self.draining or self.evacuated)
 
-    def known(self, now: float) -> dict[str, float]:
+    def load_basis(self, now: float) -> dict[str, float]:
         """Give own calls, the reported load and stretch and their age."""
         found = {"own": float(self.in_flight)}
         if self._heard_at is not None:
@@ -123,7 +123,7 @@
             found["age_ms"] = round((now - self._heard_at) * 1000, 1)
         return found
 
-    def others(self, mean: float, keep_s: float, now: float) -> float:
+    def estimate_others(self, mean: float, keep_s: float, now: float) -> float:
         """Estimate the calls that other entries have there.
 
         The report counts fully when new and gives way to the mean over
@@ -134,7 +134,7 @@
         weight = keep_s / (keep_s + now - self._heard_at)
         return mean + (self._others - mean) * weight
 
-    def latency(self, mean_s: float, now: float) -> float:
+    def estimate_latency(self, mean_s: float, now: float) -> float:
         """Estimate an answer's time, in seconds; old news fade."""
         age_s = now - self._latency_at
         weight = LATENCY_KEPT_S / (LATENCY_KEPT_S + age_s)
@@ -144,7 +144,7 @@
         """Tell whether the endpoint says that it is cold."""
         return now < self.cold_until
 
-    def note_send(self, now: float) -> None:
+    def count_send(self, now: float) -> None:
         """Count a call that is sent there."""
         self.in_flight += 1
         self._sent_at.append(now)
@@ -158,7 +158,7 @@
             sent += 1
         return max(sent, self.in_flight)
 
-    def coldness(self, now: float) -> float:
+    def warm_up_factor(self, now: float) -> float:
         """Give by how much a newcomer is held to be slower."""
         if self.joined_at is None:
             return 1.0
@@ -179,7 +179,7 @@
             return None
         return now - self._heard_at
 
-    def pace(self, mean: float, now: float) -> float:
+    def estimate_stretch(self, mean: float, now: float) -> float:
         """Estimate how much longer than usual work takes that begins now.
 
         A report gives way to the mean over all endpoints as it ages.
@@ -199,7 +199,7 @@
         """Give the slots that nobody uses, by the last report."""
         return self.slots - self.in_flight - self._others
 
-    def hear_load(
+    def record_load(
         self, load: int, now: float, stretch: float | None = None
     ) -> None:
         """Take a load report."""
@@ -209,7 +209,7 @@
         self._others = float(max(0, load - self.in_flight))
         self._heard_at = now
 
-    def hear_latency(self, latency_s: float, now: float) -> None:
+    def record_latency(self, latency_s: float, now: float) -> None:
         """Take the time an answer took, in seconds."""
         self._latency_at = now
         if self.latency_s == 0.0:
@@ -217,12 +217,12 @@
             return
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
-    def hear_late(self, elapsed_s: float, now: float) -> None:
+    def record_late(self, elapsed_s: float, now: float) -> None:
         """Take word of an answer that is still out after so long."""
         if elapsed_s > self.latency_s:
-            self.hear_latency(elapsed_s, now)
+            self.record_latency(elapsed_s, now)
 
-    def mute(self, now: float) -> None:
+    def mark_unreachable(self, now: float) -> None:
         """Take word that the endpoint does not even take a connection.
 
         A dark endpoint stays announced for seconds. Asked or tried by every
@@ -232,11 +232,11 @@
         self._muted_until = now + min(MUTE_MOST_S, pause_s)
         self._mutes = min(self._mutes + 1, 16)
 
-    def muted(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Tell whether the endpoint is to be left alone for now."""
         return now < self._muted_until
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Forget failures; the endpoint answers."""
         self._failures = 0
         self._ejections = 0
@@ -245,15 +245,15 @@
         self.ejected_until = 0.0
         self.stalled = 0
 
-    def fail(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Count a failure; return whether it ejects the endpoint."""
         self._failures += 1
-        self.alive = False
+        self.answered_probe = False
         if self._failures < EJECT_AFTER and not self._ejections:
             return False
         # A trial that fails ejects again at once, for twice as long.
-        pause_s = EJECT_FIRST_S * 2**self._ejections
-        self.ejected_until = now + min(EJECT_MOST_S, pause_s)
+        pause_s = FIRST_EJECTION_S * 2**self._ejections
+        self.ejected_until = now + min(MAX_EJECTION_S, pause_s)
         self._ejections = min(self._ejections + 1, 16)
         self._failures = 0
         return True
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -12,7 +12,7 @@
 from .calls import Result
 from .choosers import Chooser
 from .eligibility import Eligibility
-from .eligibility import Unserved
+from .eligibility import Unavailable
 from .endpoints import Endpoint
 from .inquiries import FREE_SLOT
 from .inquiries import LAST_SLOT
@@ -188,9 +188,13 @@
                 cold = self._policy.warm_up and not first
                 joined_at = now if cold else None
                 endpoint = Endpoint(announcement, local, joined_at)
-                self.eligibility.hear_cold(endpoint, announcement.cold_s, now)
+                self.eligibility.record_cold(
+                    endpoint, announcement.cold_s, now
+                )
             elif endpoint.announcement is not announcement:
-                self.eligibility.hear_cold(endpoint, announcement.cold_s, now)
+                self.eligibility.record_cold(
+                    endpoint, announcement.cold_s, now
+                )
             endpoint.announcement = announcement
             kept[address] = endpoint
             slots += announcement.slots
@@ -248,11 +252,11 @@
         """Tell whether a call sent now would be answered in vain."""
         return now >= self.latest_send_at(call)
 
-    def unserved(self, call: Call, now: float) -> Unserved | None:
+    def unavailable(self, call: Call, now: float) -> Unavailable | None:
         """Say why a call that waits cannot be served, if so."""
         if self.too_late(call, now):
-            return Unserved(TOO_LATE)
-        return self.eligibility.unserved(now)
+            return Unavailable(TOO_LATE)
+        return self.eligibility.unavailable(now)
 
     def sends_away(self, call: Call, begins: bool, now: float) -> bool:
         """Tell whether a call that found no room should not wait on.
@@ -287,14 +291,14 @@
         """
         tried = call.attempts.values()
         for address, endpoint in self._endpoints.items():
-            if address not in tried and endpoint.open:
+            if address not in tried and endpoint.accepts_calls:
                 return True
         return False
 
     @property
     def holds(self) -> bool:
         """Tell whether calls wait here until an endpoint has room."""
-        return self._policy.inquiries and self._chooser.tells
+        return self._policy.inquiries and self._chooser.reports_stretch
 
     def may_send(
         self, call: Call, address: str, freed: bool, now: float
@@ -340,7 +344,9 @@
     def choose(self, call: Call, now: float) -> str | None:
         """Return the address that the call should go to, if any."""
         if call.alone:
-            return self.eligibility.idle(list(call.attempts.values()), now)
+            return self.eligibility.find_idle(
+                list(call.attempts.values()), now
+            )
         avoid = list(call.attempts.values())
         within_s = call.objective_at - now
         endpoint = self._chooser.choose(
@@ -368,7 +374,7 @@
     def basis(self, address: str, now: float) -> dict[str, float]:
         """Give what is known of an endpoint, for the log."""
         endpoint = self._endpoints.get(address)
-        return {} if endpoint is None else endpoint.known(now)
+        return {} if endpoint is None else endpoint.load_basis(now)
 
     def may_hedge(self, call: Call, now: float) -> bool:
         """Note that an answer is late; tell whether another may be asked."""
@@ -376,10 +382,10 @@
         endpoint = self._endpoints.get(address)
         if endpoint is not None:
             elapsed_s = now - call.sent_at(1)
-            self._chooser.hear_stall(endpoint, elapsed_s, now)
+            self._chooser.record_stall(endpoint, elapsed_s, now)
         if not call.rule.hedge or call.is_retry or self.queue:
             return False
-        if self._chooser.tells_nothing:
+        if self._chooser.never_reports:
             # Nobody knows of room to spare, and a hedge that takes a slot
             # makes another call late. In time of calls to a service that
             # tells nothing, zones unequal (make bench-placing, six seeds):
@@ -426,13 +432,13 @@
         self._under_way[call.call_id, attempt] = Sent(
             endpoint, call.sent_at(attempt)
         )
-        endpoint.note_send(now)
+        endpoint.count_send(now)
 
     def take_cancel(self, call: Call, attempt: int, now: float) -> None:
         """Count an attempt that ends without an answer."""
         sent = self._release(call.call_id, attempt)
         if sent is not None and self._policy.latency:
-            sent.endpoint.hear_late(now - call.sent_at(attempt), now)
+            sent.endpoint.record_late(now - call.sent_at(attempt), now)
 
     def take_result(self, call: Call, result: Result, now: float) -> None:
         """Learn from how an attempt ended."""
@@ -441,9 +447,11 @@
             return
         endpoint = sent.endpoint
         if result.load is not None and self._policy.reports:
-            self._chooser.hear_load(endpoint, result.load, now, result.stretch)
+            self._chooser.record_load(
+                endpoint, result.load, now, result.stretch
+            )
         elif result.outcome == ANSWERED:
-            self._chooser.hear_untold()
+            self._chooser.record_no_report()
         elif result.shed:
             self._take_silent_shed(endpoint, now)
         if result.outcome == ANSWERED and not result.failed:
@@ -456,7 +464,7 @@
             return
         if result.outcome == NOT_RUN:
             self._mute(endpoint, now)
-        self._chooser.hear_failure(endpoint, now)
+        self._chooser.record_failure(endpoint, now)
 
     def take_probe(
         self,
@@ -472,23 +480,23 @@
         if endpoint is None:
             return
         if cold_s is not None:
-            self.eligibility.hear_cold(endpoint, cold_s, now)
+            self.eligibility.record_cold(endpoint, cold_s, now)
         if load is None:
             if not answered:
                 self._mute(endpoint, now)
                 return
-            self._chooser.hear_untold()
-            self._chooser.hear_sign_of_life(endpoint)
+            self._chooser.record_no_report()
+            self._chooser.record_probe_answer(endpoint)
             return
-        self._chooser.hear_load(endpoint, load, now, stretch)
-        self._chooser.hear_sign_of_life(endpoint)
+        self._chooser.record_load(endpoint, load, now, stretch)
+        self._chooser.record_probe_answer(endpoint)
 
     def next_probe(self, now: float) -> str | None:
         """Return the endpoint to probe now, if budget and need allow."""
         at = self._probes.next_at
         if at is None or now < at:
             return None
-        suspect = self._chooser.suspect(now)
+        suspect = self._chooser.next_ejected(now)
         if suspect is None:
             self._probes.postpone(now)
             return None
@@ -499,24 +507,24 @@
     def _take_answer(
         self, endpoint: Endpoint, result: Result, now: float
     ) -> None:
-        self._chooser.hear_answer(endpoint, result.latency_s, now)
+        self._chooser.record_answer(endpoint, result.latency_s, now)
         self._half.learn(result.latency_s)
         # Where endpoints tell no load, only those that shed are crowded.
-        crowded = result.load is not None and self._chooser.crowded(
+        crowded = result.load is not None and self._chooser.is_overloaded(
             endpoint, result.load
         )
         self._learn_window(crowded, now)
 
     def _mute(self, endpoint: Endpoint, now: float) -> None:
         if self._policy.silence:
-            endpoint.mute(now)
+            endpoint.mark_unreachable(now)
 
     def _take_silent_shed(self, endpoint: Endpoint, now: float) -> None:
         """Learn from "not run" where endpoints do not tell their load.
 
         All slots are taken, and calls wait there besides.
         """
-        endpoint.hear_load(endpoint.slots + endpoint.in_flight, now)
+        endpoint.record_load(endpoint.slots + endpoint.in_flight, now)
         self._learn_window(True, now)
 
     def _learn_window(self, crowded: bool, now: float) -> None:
--- a/packages/core/nutmegchute_core/questions.py
+++ b/packages/core/nutmegchute_core/questions.py
@@ -42,9 +42,9 @@
         if not self._policy.inquiries:
             return []
         avoid = inquiry.avoid
-        found = self._chooser.to_ask(avoid, inquiry.near, now)
+        found = self._chooser.endpoints_to_query(avoid, inquiry.near, now)
         if not found and inquiry.near and not self._has_last(inquiry, now):
-            found = self._chooser.to_ask(avoid, False, now)
+            found = self._chooser.endpoints_to_query(avoid, False, now)
         if not found or not self._budget.spend(len(found), now):
             return []
         return [endpoint.address for endpoint in found]
@@ -52,10 +52,10 @@
     def note_silence(self, address: str, now: float) -> None:
         """Leave an endpoint alone that did not answer in time."""
         endpoint = self._endpoints.get(address)
-        if endpoint is None or endpoint.muted(now):
+        if endpoint is None or endpoint.is_unreachable(now):
             return
         if self._policy.silence:
-            endpoint.mute(now)
+            endpoint.mark_unreachable(now)
 
     def suits(self, address: str, now: float) -> bool:
         """Tell whether a call can begin at once, at pace, at an endpoint."""
--- a/packages/core/nutmegchute_core/warmups.py
+++ b/packages/core/nutmegchute_core/warmups.py
@@ -195,7 +195,7 @@
         share = self._warm_ups.share(endpoint, self._per_s, now)
         return endpoint.sent_within(PACE_S, now) < share
 
-    def closes(self, endpoint: Endpoint, now: float) -> bool:
+    def excludes(self, endpoint: Endpoint, now: float) -> bool:
         """Tell whether this entry may not use an endpoint while it is cold."""
         if self._per_s is None or not endpoint.is_cold(now):
             return False
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -16,7 +16,7 @@
 from nutmegchute_core.calls import Send
 from nutmegchute_core.choosers import UNPROBED_S
 from nutmegchute_core.endpoints import EJECT_AFTER
-from nutmegchute_core.endpoints import EJECT_FIRST_S
+from nutmegchute_core.endpoints import FIRST_EJECTION_S
 from nutmegchute_core.rules import read_services
 from support import announcement
 from support import rule
@@ -200,7 +200,7 @@
         result = Result(send.call_id, send.attempt, outcome, ANSWER_S, 1)
         balancer.finish(result, 1.0)
     assert balancer.tick(1.2) == []
-    later = 1.1 + EJECT_FIRST_S
+    later = 1.1 + FIRST_EJECTION_S
     (probe,) = balancer.tick(later)
     assert isinstance(probe, Probe) and probe.endpoint == bad
     used = {arrive(balancer, "GET", later).endpoint for _ in range(4)}
@@ -226,7 +226,7 @@
     balancer.take_probe("catalogo", bad.endpoint, None, 0.005, 2.0)
     soon = {arrive(balancer, "GET", 2.0).endpoint for _ in range(2)}
     assert bad.endpoint not in soon
-    later = 1.1 + EJECT_FIRST_S + UNPROBED_S
+    later = 1.1 + FIRST_EJECTION_S + UNPROBED_S
     assert arrive(balancer, "GET", later).endpoint == bad.endpoint
 
 
--- a/tests/test_choosers.py
+++ b/tests/test_choosers.py
@@ -5,8 +5,8 @@
 
 from nutmegchute_core.choosers import Chooser
 from nutmegchute_core.endpoints import EJECT_AFTER
-from nutmegchute_core.endpoints import EJECT_FIRST_S
 from nutmegchute_core.endpoints import Endpoint
+from nutmegchute_core.endpoints import FIRST_EJECTION_S
 from nutmegchute_core.endpoints import WARM_UP_S
 from nutmegchute_core.policies import Policy
 from support import announcement
@@ -27,8 +27,8 @@
     ]
     chooser.update(endpoints)
     for endpoint in endpoints:
-        chooser.hear_load(endpoint, 1, 0.0)
-        chooser.hear_answer(endpoint, MEAN_S, 0.0)
+        chooser.record_load(endpoint, 1, 0.0)
+        chooser.record_answer(endpoint, MEAN_S, 0.0)
     return chooser, endpoints
 
 
@@ -52,14 +52,14 @@
     chooser, endpoints = build(6)
     bad = endpoints[0]
     for _ in range(EJECT_AFTER):
-        chooser.hear_load(bad, 0, 0.1)
-        chooser.hear_failure(bad, 0.1)
+        chooser.record_load(bad, 0, 0.1)
+        chooser.record_failure(bad, 0.1)
     assert bad.address not in spread(chooser, 0.2)
-    later = 0.11 + EJECT_FIRST_S
+    later = 0.11 + FIRST_EJECTION_S
     assert bad.address in spread(chooser, later)
     assert bad.address not in spread(chooser, later, trial=False)
-    chooser.hear_failure(bad, later)
-    assert bad.address not in spread(chooser, later + EJECT_FIRST_S * 1.5)
+    chooser.record_failure(bad, later)
+    assert bad.address not in spread(chooser, later + FIRST_EJECTION_S * 1.5)
 
 
 def test_trial_waits_for_a_probe_where_there_is_a_budget() -> None:
@@ -67,12 +67,12 @@
     chooser, endpoints = build(6, probed=True)
     bad = endpoints[0]
     for _ in range(EJECT_AFTER):
-        chooser.hear_failure(bad, 0.1)
-    assert chooser.suspect(0.2) is None
-    later = 0.11 + EJECT_FIRST_S
+        chooser.record_failure(bad, 0.1)
+    assert chooser.next_ejected(0.2) is None
+    later = 0.11 + FIRST_EJECTION_S
     assert bad.address not in spread(chooser, later)
-    assert chooser.suspect(later) is bad
-    chooser.hear_sign_of_life(bad)
+    assert chooser.next_ejected(later) is bad
+    chooser.record_probe_answer(bad)
     assert bad.address in spread(chooser, later)
 
 
@@ -85,7 +85,7 @@
     chooser, endpoints = build(6)
     for endpoint in endpoints[:4]:
         for _ in range(EJECT_AFTER):
-            chooser.hear_failure(endpoint, 0.1)
+            chooser.record_failure(endpoint, 0.1)
     for endpoint in endpoints[4:]:
         endpoint.in_flight = endpoint.slots
     assert len(spread(chooser, 0.2)) == 4
@@ -97,10 +97,10 @@
     busy = endpoints[0]
     for endpoint in endpoints:
         load = 9 if endpoint is busy else 1
-        chooser.hear_load(endpoint, load, 1.0)
+        chooser.record_load(endpoint, load, 1.0)
     mean = sum((9, 1, 1, 1)) / 4
-    assert abs(busy.others(mean, MEAN_S, 1.0) - 9) < 1e-9
-    assert abs(busy.others(mean, MEAN_S, 3600.0) - mean) < 0.01
+    assert abs(busy.estimate_others(mean, MEAN_S, 1.0) - 9) < 1e-9
+    assert abs(busy.estimate_others(mean, MEAN_S, 3600.0) - mean) < 0.01
     assert busy.address not in spread(chooser, 1.0)
 
 
@@ -122,12 +122,12 @@
         )
     chooser.update([*endpoints[:3], *far])
     for endpoint in far:
-        chooser.hear_load(endpoint, 1, 1.0)
+        chooser.record_load(endpoint, 1, 1.0)
     for endpoint in far[:2]:
-        chooser.hear_stall(endpoint, 0.06, 1.0)
+        chooser.record_stall(endpoint, 0.06, 1.0)
     used = spread(chooser, 1.0)
     assert set(used) == {one.address for one in endpoints[:3]}
-    chooser.hear_answer(far[3], MEAN_S, 1.1)
+    chooser.record_answer(far[3], MEAN_S, 1.1)
     assert far[3].address in spread(chooser, 1.1)
 
 
@@ -148,9 +148,9 @@
     near = {one.address for one in endpoints[:2]}
     assert set(spread(chooser, 0.0)) == near
     for endpoint in endpoints[:2]:
-        chooser.hear_load(endpoint, 6, 1.0)
+        chooser.record_load(endpoint, 6, 1.0)
     for endpoint in endpoints[2:]:
-        chooser.hear_load(endpoint, 1, 1.0)
+        chooser.record_load(endpoint, 1, 1.0)
     assert not set(spread(chooser, 1.0)) & near
 
 
@@ -159,5 +159,5 @@
     chooser, endpoints = build(100)
     leaving = endpoints[-1]
     chooser.update(endpoints[:-1])
-    chooser.hear_load(leaving, 0, 1.0)
+    chooser.record_load(leaving, 0, 1.0)
     assert leaving.address not in spread(chooser, 1.0)
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -489,7 +489,7 @@
             actions += balancer.finish(shed, now)
     endpoints = balancer._pools[SERVICE].endpoints.values()
     assert not [one for one in endpoints if one.ejected_until]
-    assert not [one for one in endpoints if one.muted(39.01)]
+    assert not [one for one in endpoints if one.is_unreachable(39.01)]
 
 
 def test_pace_told_once_is_asked_for_until_answers_fall_silent() -> None:
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -83,7 +83,7 @@
             self._endpoint.in_flight -= 1
         if not self._limit.allows(self._endpoint, now):
             return False
-        self._endpoint.note_send(now)
+        self._endpoint.count_send(now)
         self._ends.append(now + WORK_S)
         return True
 
