--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -288,7 +288,7 @@
         caller = self._of_arrival[arrival]
         decider = self._deciders[arrival.entry]
         if isinstance(decider, Balancer):
-            call_id, actions = decider.arrive_under(
+            call_id, actions = decider.arrive_with_rule(
                 SERVICE, self._rule, self.now, arrival.deadline_s
             )
         else:
@@ -350,7 +350,7 @@
     ) -> None:
         decider = self._deciders[entry]
         if isinstance(decider, Balancer):
-            actions = decider.take_probe(
+            actions = decider.record_probe(
                 SERVICE, name, load, 0.002, self.now, stretch, True
             )
             self.perform(entry, actions)
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -47,7 +47,7 @@
     def finish(self, result: Result, now: float) -> list[Action]:
         """Take an attempt's end."""
 
-    def take_probe(
+    def record_probe(
         self,
         service: str,
         endpoint: str,
@@ -142,7 +142,7 @@
         if result.load is not None:
             known.load = result.load
 
-    def take_probe(
+    def record_probe(
         self,
         service: str,
         endpoint: str,
@@ -258,7 +258,7 @@
         """Ask for a tick when the next probe may go."""
         return self._budget.next_at
 
-    def take_probe(
+    def record_probe(
         self,
         service: str,
         endpoint: str,
--- a/benchmarks/policy_oracle.py
+++ b/benchmarks/policy_oracle.py
@@ -138,7 +138,7 @@
         self.oracle.enqueue(call)
         return []
 
-    def take_probe(
+    def record_probe(
         self,
         service: str,
         endpoint: str,
--- a/benchmarks/policy_upstreams.py
+++ b/benchmarks/policy_upstreams.py
@@ -421,7 +421,7 @@
 
     def _probed(self, entry: int, endpoint: Endpoint, sent: float) -> None:
         load = None if endpoint.dead else endpoint.load(self.now)
-        actions = self._deciders[entry].take_probe(
+        actions = self._deciders[entry].record_probe(
             self._service, endpoint.name, load, self.now - sent, self.now
         )
         self.perform(entry, actions)
--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -16,9 +16,9 @@
 from .calls import Result
 from .calls import Send
 from .evacuations import EvacuationNews
-from .inquiries import ANSWER_S
-from .inquiries import ASK_AGAIN_S
 from .inquiries import Inquiry
+from .inquiries import QUERY_TIMEOUT_S
+from .inquiries import REQUERY_S
 from .isolations import Isolation
 from .isolations import Release
 from .members import Announcement
@@ -35,11 +35,11 @@
 from .quarantines import WAIT_S
 from .rules import Rule
 from .rules import Service
-from .timers import AGAIN
-from .timers import ASKED
 from .timers import EXPIRY
 from .timers import HEDGE
-from .timers import SEEK
+from .timers import QUERY_TIMEOUT
+from .timers import REQUERY
+from .timers import REQUEST_TRIAL
 from .timers import Timers
 from .warmups import WarmUps
 
@@ -85,7 +85,7 @@
         self._isolation = Isolation(self._random, self._timers)
 
     @property
-    def quarantine(self) -> int:
+    def quarantine_index(self) -> int:
         """Give the log index of the cases known."""
         return self._isolation.index
 
@@ -94,9 +94,9 @@
         """Give the evacuated availability zones, as known here."""
         return self._pools.evacuations
 
-    def reports(self) -> list[Report]:
+    def drain_reports(self) -> list[Report]:
         """Take what control must hear of requests that crash endpoints."""
-        return self._isolation.reports()
+        return self._isolation.drain_reports()
 
     @property
     def in_flight(self) -> int:
@@ -107,7 +107,7 @@
         """Take the services that the configuration in force declares."""
         self._pools.configure(services, now)
 
-    def take_evacuations(
+    def apply_evacuations(
         self, news: EvacuationNews, now: float
     ) -> list[Action]:
         """Take the evacuated availability zones, as control tells."""
@@ -152,11 +152,11 @@
         """
         pool = self._pools.get(service)
         rule = None if pool is None else pool.service.rule_for(method, path)
-        return self.arrive_under(
+        return self.arrive_with_rule(
             service, rule, now, caller_deadline_s, attempt, fingerprint
         )
 
-    def arrive_under(
+    def arrive_with_rule(
         self,
         service: str,
         rule: Rule | None,
@@ -180,7 +180,7 @@
             call_id, service, rule, now, deadline_s, attempt > 1, fingerprint
         )
         self._calls[call_id] = call
-        pool.note_deadline(call, caller_deadline_s)
+        pool.record_deadline(call, caller_deadline_s)
         reason = pool.admit(call, now)
         if reason is not None:
             return call_id, [self._give_up(pool, call, reason)]
@@ -218,7 +218,7 @@
             self._guard(pool, call)
         return actions
 
-    def take_quarantine(
+    def apply_quarantine(
         self, news: QuarantineNews, now: float
     ) -> list[Action]:
         """Take the requests that may crash endpoints, as control tells."""
@@ -226,16 +226,16 @@
         self._let_go(self._isolation.take_news(news, now), now, actions)
         return actions
 
-    def take_ruling(
+    def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Action]:
         """Take the answer to a trial request; None: there was none."""
         actions: list[Action] = []
-        releases = self._isolation.take_ruling(request, ruling, now)
+        releases = self._isolation.apply_ruling(request, ruling, now)
         self._let_go(releases, now, actions)
         return actions
 
-    def take_probe(
+    def record_probe(
         self,
         service: str,
         endpoint: str,
@@ -250,7 +250,7 @@
         actions: list[Action] = []
         pool = self._pools.get(service)
         if pool is not None:
-            pool.take_probe(endpoint, load, now, stretch, answered, cold_s)
+            pool.record_probe(endpoint, load, now, stretch, answered, cold_s)
             told = load is not None
             self._hear_answer(pool, endpoint, told, now, actions)
             self._dispatch(pool, now, actions)
@@ -286,7 +286,7 @@
         """Do what has fallen due: hedges, refusals, probes."""
         actions: list[Action] = []
         while True:
-            due = self._timers.take(now)
+            due = self._timers.pop_due(now)
             if due is None:
                 break
             kind, call_id = due
@@ -298,11 +298,11 @@
                 self._begin_hedge(call, now, actions)
             elif kind == EXPIRY:
                 self._expire(call, actions)
-            elif kind == ASKED and call_id in self._inquiries:
+            elif kind == QUERY_TIMEOUT and call_id in self._inquiries:
                 self._end_round(call, now, actions)
-            elif kind == AGAIN:
+            elif kind == REQUERY:
                 self._ask_again(call, now, actions)
-            elif kind == SEEK:
+            elif kind == REQUEST_TRIAL:
                 self._isolation.seek(call.key, now)
         for name, pool in self._pools.items():
             if pool.queue:
@@ -323,12 +323,12 @@
         actions: list[Action],
     ) -> bool:
         """Ask endpoints for a call; return whether it waits for answers."""
-        asked = pool.questions.to_ask(inquiry, now)
+        asked = pool.planner.to_ask(inquiry, now)
         if not asked:
             return False
-        inquiry.ask(asked, now + ANSWER_S)
+        inquiry.ask(asked, now + QUERY_TIMEOUT_S)
         self._inquiries[call.call_id] = inquiry
-        self._timers.add(now + ANSWER_S, ASKED, call.call_id)
+        self._timers.add(now + QUERY_TIMEOUT_S, QUERY_TIMEOUT, call.call_id)
         path = pool.service.probe_path
         for address in asked:
             actions.append(Probe(call.service, address, path))
@@ -348,7 +348,7 @@
                 continue
             if not inquiry.hear(address, told):
                 continue
-            if pool.questions.suits(address, now):
+            if pool.planner.suits(address, now):
                 self._end_inquiry(call, now, actions)
                 continue
             if not inquiry.over:
@@ -364,7 +364,7 @@
         now: float,
         actions: list[Action],
     ) -> bool:
-        if not inquiry.rounds_left or pool.questions.suffices(inquiry, now):
+        if not inquiry.rounds_left or pool.planner.suffices(inquiry, now):
             return False
         return self._ask(pool, call, inquiry, now, actions)
 
@@ -379,7 +379,7 @@
         pool = self._pools.get(call.service)
         if pool is not None:
             for address in inquiry.unanswered:
-                pool.questions.note_silence(address, now)
+                pool.planner.note_silence(address, now)
             if self._ask_more(pool, call, inquiry, now, actions):
                 return
         self._end_inquiry(call, now, actions)
@@ -457,7 +457,7 @@
 
     def _ask_later(self, pool: Pool, call: Call, now: float) -> None:
         if call.state == QUEUED and pool.holds:
-            self._timers.add(now + ASK_AGAIN_S, AGAIN, call.call_id)
+            self._timers.add(now + REQUERY_S, REQUERY, call.call_id)
 
     def _conclude(
         self,
@@ -492,7 +492,11 @@
             # The other attempt of a hedged call is the retry.
             return True
         may_repeat = result.outcome == NOT_RUN or call.rule.idempotent
-        if pool is None or not may_repeat or not pool.has_other(call):
+        if (
+            pool is None
+            or not may_repeat
+            or not pool.has_untried_endpoint(call)
+        ):
             return False
         if not pool.may_retry(call):
             return False
@@ -501,7 +505,7 @@
         if pool.holds:
             # Held for another call's answer, it could wait at a quiet entry
             # until its deadline.
-            self._timers.add(now, AGAIN, call.call_id)
+            self._timers.add(now, REQUERY, call.call_id)
         return True
 
     def _enqueue(self, pool: Pool, call: Call) -> None:
@@ -662,7 +666,7 @@
 
     def _may_have_crashed(self, call: Call, now: float) -> bool:
         """Tell whether a call is a suspect's; those are sent once a time."""
-        if call.trial:
+        if call.trial_token:
             return True
         return self._isolation.look(call, now).outcome != FREE
 
@@ -703,5 +707,5 @@
                 continue
             self._enqueue(pool, call)
             if pool.holds:
-                self._timers.add(now, AGAIN, call.call_id)
+                self._timers.add(now, REQUERY, call.call_id)
             self._dispatch(pool, now, actions)
--- a/packages/core/nutmegchute_core/budgets.py
+++ b/packages/core/nutmegchute_core/budgets.py
@@ -12,9 +12,9 @@
 
 # Of the extra sends that a service allows beside the share, this much is
 # divided among the entries; the rest covers entries that have just started.
-SAVED_SHARE = 0.8
+BURST_SHARE = 0.8
 # An entry that could not save up one extra send would never make any.
-LEAST_BURST = 1.0
+MIN_BURST = 1.0
 
 # Float sums of gaps must not let one probe more into a window.
 GAP_SLACK = 1e-6
@@ -94,7 +94,7 @@
 
     def burst(self, entries: int) -> float:
         """Give the most that one of so many entries may save up."""
-        return max(LEAST_BURST, SAVED_SHARE * self._fixed / max(1, entries))
+        return max(MIN_BURST, BURST_SHARE * self._fixed / max(1, entries))
 
 
 class ProbeBudget:
@@ -133,7 +133,7 @@
         if self._gap_s is not None:
             self._next_at = now + self._gap_s
 
-    def follow(self, earlier: "ProbeBudget") -> None:
+    def continue_from(self, earlier: "ProbeBudget") -> None:
         """Go on from the budget in force before, so none is spent twice."""
         if self._gap_s is None:
             return
--- a/packages/core/nutmegchute_core/calls.py
+++ b/packages/core/nutmegchute_core/calls.py
@@ -198,7 +198,7 @@
         "may_have_run",
         "objective_at",
         "outstanding",
-        "trial",
+        "trial_token",
     )
 
     def __init__(
@@ -215,7 +215,7 @@
         self.fingerprint = fingerprint
         # The token by which a suspect may be sent once, or 0, and whether
         # only to an endpoint that runs nothing else.
-        self.trial = 0
+        self.trial_token = 0
         self.alone = False
         self._chart: Chart = CALL_CHART
         self._call_id = call_id
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -7,9 +7,9 @@
 from .endpoints import Endpoint
 from .inquiries import FREE_SLOT
 from .inquiries import Fullness
-from .inquiries import nearly_full
+from .inquiries import is_nearly_full
 from .inquiries import NO_SLOT
-from .latencies import FIRST_S
+from .latencies import INITIAL_LATENCY_S
 from .latencies import Mean
 from .policies import Policy
 from .warmups import SLOWDOWN
@@ -98,7 +98,7 @@
         self._recent: dict[Endpoint, None] = {}
         self._ejected: set[Endpoint] = set()
         self._stalls: dict[str, ZoneStalls] = {}
-        self._latency = Mean(FIRST_S)
+        self._latency = Mean(INITIAL_LATENCY_S)
         self._others = Mean(0.0)
         self._stretch = Mean(1.0)
         # Whether endpoints tell how long work takes; None: not known yet.
@@ -238,7 +238,7 @@
         )
         if not endpoint.local:
             score += OTHER_ZONE_S
-        if nearly_full(endpoint, load):
+        if is_nearly_full(endpoint, load):
             score *= self.fullness.factor
         band_s = LATENCY_BAND * mean_s
         if endpoint.latency_s > band_s:
@@ -345,7 +345,7 @@
         if not self._stretches:
             return load > endpoint.slots * (1.0 + QUEUE_SHARE)
         if self.fullness.matters:
-            return nearly_full(endpoint, load)
+            return is_nearly_full(endpoint, load)
         return load >= endpoint.slots
 
     def endpoints_to_query(
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -21,12 +21,12 @@
 NEAR_ROUNDS = 5
 # What an answer may take within a region, new connection included; a call
 # waits no longer for what may be a lost endpoint.
-ANSWER_S = 0.015
+QUERY_TIMEOUT_S = 0.015
 # A call that finds every endpoint crowded is held at the entry: there it can
 # still go to any of them, and endpoints that slow down when nearly full run
 # more calls a second with a slot left free. Answers to other calls tell of
 # room; where none come, somebody is asked again after so long.
-ASK_AGAIN_S = 0.05
+REQUERY_S = 0.05
 # Work that takes longer than this multiple of the usual is worth another
 # question: neighbours cost two or more.
 STRETCHED = 1.5
@@ -229,13 +229,13 @@
         if endpoint.spare_slots < 1:
             return NO_SLOT
         load = endpoint.slots - endpoint.spare_slots
-        if not nearly_full(endpoint, load):
+        if not is_nearly_full(endpoint, load):
             return FREE_SLOT
         if self.known and not self.matters:
             return FREE_SLOT
         return LAST_SLOT
 
 
-def nearly_full(endpoint: Endpoint, load: float) -> bool:
+def is_nearly_full(endpoint: Endpoint, load: float) -> bool:
     """Tell whether one more call than the load makes it nearly full."""
     return load + 1 > max(1.0, NEARLY_FULL * endpoint.slots)
--- a/packages/core/nutmegchute_core/questions.py
+++ b/packages/core/nutmegchute_core/inquiry_planners.py
@@ -10,7 +10,7 @@
 from .policies import Policy
 
 
-class Questions:
+class InquiryPlanner:
     """Say whom to ask within what is allowed, and what answers are worth."""
 
     __slots__ = ("_budget", "_chooser", "_endpoints", "_limit", "_policy")
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -15,7 +15,7 @@
 from .quarantines import TRY
 from .quarantines import WAIT
 from .suspects import Suspects
-from .timers import SEEK
+from .timers import REQUEST_TRIAL
 from .timers import Timers
 from .trials import Trials
 
@@ -51,13 +51,13 @@
         """Give the log index of the cases known."""
         return self._suspects.index
 
-    def reports(self) -> list[Report]:
+    def drain_reports(self) -> list[Report]:
         """Take what control must hear."""
         return self._suspects.drain()
 
     def look(self, call: Call, now: float) -> Ruling:
         """Tell whether a call may simply go; WAIT: only on trial."""
-        if call.trial or not self._suspects.any:
+        if call.trial_token or not self._suspects.any:
             return Ruling(FREE)
         return self._suspects.look(call.key, now)
 
@@ -93,7 +93,7 @@
                 releases += self._release(key, ruling)
         return releases
 
-    def take_ruling(
+    def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Release]:
         """Take the answer to a trial request; None: there was none."""
@@ -108,11 +108,11 @@
             ruling = self._suspects.decide(key, now)
         if ruling.outcome == WAIT:
             self._trials.wait(key)
-            self._timers.add(now + ruling.after_s, SEEK, call.call_id)
+            self._timers.add(now + ruling.after_s, REQUEST_TRIAL, call.call_id)
             return []
         if ruling.outcome == TRY:
             self._trials.begin(call)
-            call.trial = request.token
+            call.trial_token = request.token
             call.alone = ruling.alone
             return [Release(call, ruling)]
         if ruling.outcome == FREE:
@@ -127,7 +127,7 @@
 
         ``process`` names the start of the endpoint it was sent to.
         """
-        trial, call.trial = call.trial, 0
+        trial, call.trial_token = call.trial_token, 0
         call.alone = False
         key = call.key
         releases: list[Release] = []
@@ -151,12 +151,12 @@
         self._trials.end(call)
         other = self._trials.next(key)
         if other is not None:
-            self._timers.add(call.arrived_at, SEEK, other.call_id)
-        if not call.trial:
+            self._timers.add(call.arrived_at, REQUEST_TRIAL, other.call_id)
+        if not call.trial_token:
             return
-        self._suspects.add(TrialEnd(*key, call.trial, sent))
+        self._suspects.add(TrialEnd(*key, call.trial_token, sent))
         self._suspects.end_trial(key)
-        call.trial = 0
+        call.trial_token = 0
 
     def _release(self, key: Key, ruling: Ruling) -> list[Release]:
         return [Release(call, ruling) for call in self._trials.release(key)]
--- a/packages/core/nutmegchute_core/latencies.py
+++ b/packages/core/nutmegchute_core/latencies.py
@@ -2,7 +2,7 @@
 
 MEAN_WEIGHT = 0.05
 QUANTILE_STEP = 0.1
-FIRST_S = 0.02
+INITIAL_LATENCY_S = 0.02
 
 
 class Quantile:
@@ -10,7 +10,9 @@
 
     __slots__ = ("_share", "_value_s")
 
-    def __init__(self, share: float, first_s: float = FIRST_S) -> None:
+    def __init__(
+        self, share: float, first_s: float = INITIAL_LATENCY_S
+    ) -> None:
         self._share = share
         self._value_s = first_s
 
--- a/packages/core/nutmegchute_core/limits.py
+++ b/packages/core/nutmegchute_core/limits.py
@@ -2,9 +2,9 @@
 
 # Shares of what is one entry's if all entries get the same.
 FIRST_SHARE = 2.0
-LEAST_SHARE = 0.5
+MIN_SHARE = 0.5
 GAIN = 1.0
-BACK_OFF = 0.9
+SHRINK_FACTOR = 0.9
 
 
 class Window:
@@ -34,7 +34,7 @@
         A new entry starts above its share, or with one endpoint's slots:
         entries may be fewer than configured.
         """
-        self._least = max(1.0, slots * LEAST_SHARE)
+        self._least = max(1.0, slots * MIN_SHARE)
         if self._size is None and endpoint_slots:
             self._size = max(float(endpoint_slots), slots * FIRST_SHARE)
         elif self._size is not None:
@@ -51,4 +51,4 @@
         if now - self._shrunk_at < pause_s:
             return
         self._shrunk_at = now
-        self._size = max(self._least, self.size * BACK_OFF)
+        self._size = max(self._least, self.size * SHRINK_FACTOR)
--- a/packages/core/nutmegchute_core/pauses.py
+++ b/packages/core/nutmegchute_core/pauses.py
@@ -4,10 +4,10 @@
 PAUSE_S = 1.0
 # How long calls are held for a replica's answer, which takes a way there
 # and back; a replica that is gone must not hold them longer.
-QUIET_S = 0.6
+HOLD_S = 0.6
 
 
-class Pause:
+class PauseDetector:
     """Hold calls after a pause until a replica in contact was heard.
 
     A vm that was frozen wakes with its callers' requests before it and
@@ -23,20 +23,20 @@
         self._awaiting = False
         self._until = now
 
-    def look(self, now: float) -> float | None:
+    def observe(self, now: float) -> float | None:
         """Tell how long this process stood still, if it did."""
         stood_s = now - self._seen_at
         self._seen_at = now
         if stood_s <= PAUSE_S:
             return None
         self._awaiting = True
-        self._until = now + QUIET_S
+        self._until = now + HOLD_S
         return stood_s
 
-    def hear(self) -> None:
+    def confirm_contact(self) -> None:
         """Take word that a replica in contact has answered."""
         self._awaiting = False
 
-    def quiet(self, now: float) -> bool:
+    def is_holding(self, now: float) -> bool:
         """Tell whether calls are to be held."""
         return self._awaiting and now < self._until
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -86,7 +86,7 @@
             return
         self._inquiry_limit = (per_endpoint, share)
         for pool in self.values():
-            pool.questions.limit(per_endpoint, share)
+            pool.planner.limit(per_endpoint, share)
 
     def update(self, announcements: list[Announcement], now: float) -> None:
         """Take the live endpoints of every service."""
@@ -124,6 +124,6 @@
         )
         if self._extra is not None:
             pool.limit_extra(*self._extra)
-        pool.questions.limit(*self._inquiry_limit)
+        pool.planner.limit(*self._inquiry_limit)
         pool.eligibility.evacuate(self._evacuated, now)
         return pool
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -17,16 +17,16 @@
 from .inquiries import FREE_SLOT
 from .inquiries import LAST_SLOT
 from .inquiries import NO_SLOT
+from .inquiry_planners import InquiryPlanner
 from .latencies import Mean
 from .latencies import Quantile
 from .limits import Window
 from .members import Announcement
 from .policies import Policy
-from .questions import Questions
 from .queues import WaitQueue
+from .rule_latencies import RuleLatency
+from .rule_latencies import SentAttempt
 from .rules import Service
-from .usuals import Sent
-from .usuals import Usual
 from .warmups import WarmUps
 
 # Calls of others per slot beyond which a hedge only lengthens queues.
@@ -84,7 +84,7 @@
         "_window",
         "_zone",
         "eligibility",
-        "questions",
+        "planner",
         "queue",
     )
 
@@ -104,16 +104,16 @@
             self._chooser, random, warm_ups, service
         )
         self._extra = ExtraBudget()
-        self.questions = Questions(self._chooser, policy)
+        self.planner = InquiryPlanner(self._chooser, policy)
         self._probes = ProbeBudget(service.probes_per_s, service.most_entries)
         self._window = Window()
         self._half = Quantile(0.5)
         # By rule: what is late for one kind of call is usual for another.
-        self._usual: dict[str, Usual] = {}
+        self._usual: dict[str, RuleLatency] = {}
         self._gap = Mean(FIRST_GAP_S)
         self._sent_at: float | None = None
         self._endpoints: dict[str, Endpoint] = {}
-        self._under_way: dict[tuple[int, int], Sent] = {}
+        self._under_way: dict[tuple[int, int], SentAttempt] = {}
         self.queue = WaitQueue()
 
     @property
@@ -150,7 +150,7 @@
             self._usual.clear()
         self._service = service
         probes = ProbeBudget(service.probes_per_s, service.most_entries)
-        probes.follow(self._probes)
+        probes.continue_from(self._probes)
         self._probes = probes
         self._chooser.probed = self._may_probe(service)
         self.eligibility.configure(service)
@@ -158,7 +158,7 @@
     @property
     def asks(self) -> bool:
         """Tell whether endpoints are asked at all."""
-        return self.holds and self.questions.allowed
+        return self.holds and self.planner.allowed
 
     def limit_extra(self, share: float, burst: float) -> None:
         """Take this entry's part of the extra sends."""
@@ -203,7 +203,7 @@
         self.eligibility.update(kept)
         share = slots / self._service.most_entries
         self._window.set_share(share, most_slots)
-        self.questions.update(kept)
+        self.planner.update(kept)
 
     def admit(self, call: Call, now: float) -> str | None:
         """Earn the call's share of extra sends; say why it is refused."""
@@ -214,7 +214,7 @@
             return "queue full"
         if not waiting or not self._policy.admission:
             return None
-        ahead = self.queue.ahead_of(
+        ahead = self.queue.count_ahead(
             call.rule.priority, self.late_at(call), now
         )
         wait_s = ahead * self._gap_s + self._typical_s(call)
@@ -223,7 +223,7 @@
             return TOO_LATE
         return None
 
-    def note_deadline(self, call: Call, deadline_s: float | None) -> None:
+    def record_deadline(self, call: Call, deadline_s: float | None) -> None:
         """Learn from a caller's deadline how long it has tried already.
 
         A caller that was refused or lost its answer comes back with what is
@@ -283,7 +283,7 @@
             return True
         return self.in_flight < self._window.size
 
-    def has_other(self, call: Call) -> bool:
+    def has_untried_endpoint(self, call: Call) -> bool:
         """Tell whether an endpoint is left that the call was not sent to.
 
         Without one a retry would wait in the queue for nothing, and its
@@ -312,7 +312,7 @@
         there in spite of its slowness; others would be late in it, and
         wait for one that others leave.
         """
-        slot = self.questions.slot(address, now)
+        slot = self.planner.slot(address, now)
         if slot > NO_SLOT and self._yields(call, now):
             endpoint = self._endpoints[address]
             return endpoint.spare_slots > min(1, endpoint.slots - 1)
@@ -429,7 +429,7 @@
             self._gap.learn(min(waited_s, GAP_MOST_S))
         self._sent_at = now
         endpoint = self._endpoints[call.attempts[attempt]]
-        self._under_way[call.call_id, attempt] = Sent(
+        self._under_way[call.call_id, attempt] = SentAttempt(
             endpoint, call.sent_at(attempt)
         )
         endpoint.count_send(now)
@@ -466,7 +466,7 @@
             self._mute(endpoint, now)
         self._chooser.record_failure(endpoint, now)
 
-    def take_probe(
+    def record_probe(
         self,
         address: str,
         load: int | None,
@@ -561,21 +561,23 @@
         most_s = (call.deadline_at - call.arrived_at) * TYPICAL_MOST_SHARE
         return min(most_s, self._usual_of(call).half.value_s)
 
-    def _learn_usual(self, call: Call, sent: Sent, latency_s: float) -> None:
+    def _learn_usual(
+        self, call: Call, sent: SentAttempt, latency_s: float
+    ) -> None:
         usual = self._usual_of(call)
         usual.learn(latency_s)
         if sent.full is not None and self._policy.fullness:
             multiple = latency_s / usual.half.value_s
             self._chooser.fullness.learn(sent.full, multiple)
 
-    def _usual_of(self, call: Call) -> Usual:
+    def _usual_of(self, call: Call) -> RuleLatency:
         usual = self._usual.get(call.rule.name)
         if usual is None:
-            usual = Usual(call.rule.objective_s)
+            usual = RuleLatency(call.rule.objective_s)
             self._usual[call.rule.name] = usual
         return usual
 
-    def _release(self, call_id: int, attempt: int) -> Sent | None:
+    def _release(self, call_id: int, attempt: int) -> SentAttempt | None:
         # Kept by attempt, not by address: an endpoint that left and came
         # back would otherwise be credited with the ends of calls that
         # went to the process before it, and get more than its slots.
--- a/packages/core/nutmegchute_core/queues.py
+++ b/packages/core/nutmegchute_core/queues.py
@@ -7,7 +7,7 @@
 
 # A waiting call passes as one of higher priority that arrived this much
 # later, so background work yields for a while and then arrives.
-HEAD_START_S = {"interactive": 0.0, "action": 0.02, "background": 1.0}
+PRIORITY_DELAY_S = {"interactive": 0.0, "action": 0.02, "background": 1.0}
 
 
 class WaitQueue:
@@ -30,7 +30,7 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def ahead_of(
+    def count_ahead(
         self, priority: str, late_at: float = inf, now: float = -inf
     ) -> int:
         """Count the calls that go before a new one, roughly.
@@ -62,7 +62,7 @@
 
         Sent after ``late_at`` it cannot be answered within its objective.
         """
-        key = arrived_at + HEAD_START_S[priority]
+        key = arrived_at + PRIORITY_DELAY_S[priority]
         heapq.heappush(self._heap, (key, call_id))
         self._waiting[call_id] = priority
         self._late_at[call_id] = late_at
--- a/packages/core/nutmegchute_core/usuals.py
+++ b/packages/core/nutmegchute_core/rule_latencies.py
@@ -2,7 +2,7 @@
 
 from .endpoints import Endpoint
 from .inquiries import FRESH_S
-from .inquiries import nearly_full
+from .inquiries import is_nearly_full
 from .latencies import Quantile
 
 HEDGE_QUANTILE = 0.92
@@ -11,7 +11,7 @@
 FIRST_SLOW = 0.6
 
 
-class Usual:
+class RuleLatency:
     """Follow how long calls of one rule take, and what callers allow.
 
     ``deadline_s`` is the longest deadline that a caller gave.
@@ -32,7 +32,7 @@
         self.slow.learn(latency_s)
 
 
-class Sent:
+class SentAttempt:
     """Hold where an attempt went and whether that was nearly full then.
 
     ``full`` is None where the endpoint's load was not known.
@@ -46,4 +46,4 @@
         age_s = endpoint.report_age_s(now)
         if age_s is not None and age_s <= FRESH_S:
             load = endpoint.in_flight + endpoint.reported_others
-            self.full = nearly_full(endpoint, load)
+            self.full = is_nearly_full(endpoint, load)
--- a/packages/core/nutmegchute_core/timers.py
+++ b/packages/core/nutmegchute_core/timers.py
@@ -2,11 +2,11 @@
 
 import heapq
 
-AGAIN = "again"
-ASKED = "asked"
+REQUERY = "again"
+QUERY_TIMEOUT = "asked"
 EXPIRY = "expiry"
 HEDGE = "hedge"
-SEEK = "seek"
+REQUEST_TRIAL = "seek"
 
 
 class Timers:
@@ -28,7 +28,7 @@
         self._count += 1
         heapq.heappush(self._heap, (at, self._count, kind, call_id))
 
-    def take(self, now: float) -> tuple[str, int] | None:
+    def pop_due(self, now: float) -> tuple[str, int] | None:
         """Remove and return the next timer that is due, if any."""
         if not self._heap or self._heap[0][0] > now:
             return None
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -112,7 +112,7 @@
         """Admit a call whose service and rule a route gives."""
         arrival = ticket.arrival
         now = self._loop.time()
-        call_id, actions = self._balancer.arrive_under(
+        call_id, actions = self._balancer.arrive_with_rule(
             service,
             rule,
             now,
@@ -150,7 +150,7 @@
                 self._report_crash(ticket, send)
         self.perform(self._balancer.finish(result, self._loop.time()))
 
-    def take_quarantine(self, news: QuarantineNews) -> None:
+    def apply_quarantine(self, news: QuarantineNews) -> None:
         """Take the requests that may crash endpoints, as control tells."""
         log(
             Event.QUARANTINE_APPLIED,
@@ -159,9 +159,9 @@
             ended=[fingerprint for _, fingerprint in news.ended],
         )
         now = self._loop.time()
-        self.perform(self._balancer.take_quarantine(news, now))
+        self.perform(self._balancer.apply_quarantine(news, now))
 
-    def take_evacuations(self, news: EvacuationNews) -> None:
+    def apply_evacuations(self, news: EvacuationNews) -> None:
         """Take the evacuated availability zones, as control tells."""
         log(
             Event.EVACUATIONS_APPLIED,
@@ -169,16 +169,16 @@
             availability_zones=news.availability_zones,
         )
         now = self._loop.time()
-        self.perform(self._balancer.take_evacuations(news, now))
+        self.perform(self._balancer.apply_evacuations(news, now))
 
-    def take_ruling(
+    def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None
     ) -> None:
         """Take control's answer to a trial request; None: there is none."""
         now = self._loop.time()
-        self.perform(self._balancer.take_ruling(request, ruling, now))
+        self.perform(self._balancer.apply_ruling(request, ruling, now))
 
-    def take_probe(
+    def record_probe(
         self,
         probe: Probe,
         load: int | None,
@@ -190,7 +190,7 @@
         """Take a probe's end; without load and answer it has failed."""
         self._metrics.count("probes")
         self.perform(
-            self._balancer.take_probe(
+            self._balancer.record_probe(
                 probe.service,
                 probe.endpoint,
                 load,
@@ -236,7 +236,7 @@
                 self._settle(ticket, UNKNOWN)
                 self._metrics.count("unknown")
                 log(Event.CALL_LOST, "warning", reason=action.reason)
-        reports = self._balancer.reports()
+        reports = self._balancer.drain_reports()
         if reports:
             self.report(reports)
         self._arm()
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -108,13 +108,13 @@
             ask_load=self._prober.ask,
             settle=self._settle,
         )
-        self._prober.take = self._dispatcher.take_probe
-        self._follower.on_quarantine = self._dispatcher.take_quarantine
-        self._follower.on_evacuations = self._dispatcher.take_evacuations
+        self._prober.take = self._dispatcher.record_probe
+        self._follower.on_quarantine = self._dispatcher.apply_quarantine
+        self._follower.on_evacuations = self._dispatcher.apply_evacuations
         self._reporter = QuarantineReporter(
             self._links,
             lambda: [one.grpc_address for one in self._settings.control],
-            self._dispatcher.take_ruling,
+            self._dispatcher.apply_ruling,
         )
         self._dispatcher.report = self._reporter.submit
         self._handler.dispatcher = self
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -10,7 +10,7 @@
 
 from nutmegchute_core.balancers import Balancer
 from nutmegchute_core.budgets import ExtraLimit
-from nutmegchute_core.budgets import LEAST_BURST
+from nutmegchute_core.budgets import MIN_BURST
 from nutmegchute_core.calls import Refuse
 from nutmegchute_core.calls import Reject
 from nutmegchute_core.calls import Result
@@ -20,7 +20,7 @@
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import Process
-from nutmegchute_core.pauses import Pause
+from nutmegchute_core.pauses import PauseDetector
 from nutmegchute_core.replica_choosers import ReplicaChooser
 from nutmegchute_core.routes import KEPT_BYTES
 from nutmegchute_core.routes import read_routes
@@ -96,7 +96,7 @@
         self._leaving = False
         # A replica in contact with the others has told what it knows.
         self._in_touch = False
-        self._pause = Pause(boot_time())
+        self._pause = PauseDetector(boot_time())
         # Calls that wait for word of control, and since when.
         self._held: list[tuple[float, Ticket]] = []
         self._hold_until = boot_time() + UNCONFIGURED_HOLD_S
@@ -134,10 +134,10 @@
         self._reporter = QuarantineReporter(
             self._links,
             lambda: self._replicas,
-            self._dispatcher.take_ruling,
+            self._dispatcher.apply_ruling,
         )
         self._dispatcher.report = self._reporter.submit
-        self._prober.take = self._dispatcher.take_probe
+        self._prober.take = self._dispatcher.record_probe
         self._handler.dispatcher = self
         self._handler.kept = self._kept_bytes
         self._http.handle(EVERYTHING, self._handler)
@@ -226,7 +226,7 @@
         now = boot_time()
         if not self._leaving and not self.ready and now < self._hold_until:
             return True
-        return self._pause.quiet(now)
+        return self._pause.is_holding(now)
 
     def _kept_bytes(self, host: str, path: str) -> int:
         """Tell how much of a body to keep; worker threads call this.
@@ -299,7 +299,7 @@
             self._members,
             hold_s,
             self._shares.told,
-            self._balancer.quarantine,
+            self._balancer.quarantine_index,
             self._balancer.evacuations.index,
             self._balancer.warm_ups.digest,
         )
@@ -310,7 +310,7 @@
         # What was under way while this process stood still is old.
         stale = self._look_for_pause()
         if reply.current and not stale:
-            self._pause.hear()
+            self._pause.confirm_contact()
             self._in_touch = True
         self._members = max(self._members, reply.members)
         if reply.replicas is not None:
@@ -321,11 +321,11 @@
             self._balancer.warm_ups.take(reply.group, self._loop.time())
         # Before the tree: an entry that starts acts as soon as it has one.
         if reply.evacuations is not None:
-            self._dispatcher.take_evacuations(reply.evacuations)
+            self._dispatcher.apply_evacuations(reply.evacuations)
         if reply.tree is not None and self._tree.take(reply.tree):
             self._apply()
         if reply.quarantine is not None:
-            self._dispatcher.take_quarantine(reply.quarantine)
+            self._dispatcher.apply_quarantine(reply.quarantine)
         changed = self._catalog.vouch(reply.silent, boot_time())
         for source, delta in reply.deltas.items():
             changed |= self._catalog.hear(source, delta, boot_time())
@@ -343,7 +343,7 @@
         self._share_inquiries()
 
     def _look_for_pause(self) -> bool:
-        paused_s = self._pause.look(boot_time())
+        paused_s = self._pause.observe(boot_time())
         if paused_s is None:
             return False
         log(Event.PAUSED, "warning", paused_s=round(paused_s, 3))
@@ -422,7 +422,7 @@
         limit = ExtraLimit(
             self._settings.extra_ratio, self._settings.extra_fixed
         )
-        burst = limit.burst(self._entries) if self._counted else LEAST_BURST
+        burst = limit.burst(self._entries) if self._counted else MIN_BURST
         self._balancer.limit_extra(limit.share, burst)
 
     def _sweep(self) -> None:
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -143,7 +143,7 @@
     def call(self, fingerprint: str, service: str = "") -> None:
         """Let a request for a service, or for any, arrive at any entry."""
         entry = self.random.randrange(len(self.balancers))
-        call_id, actions = self.balancers[entry].arrive_under(
+        call_id, actions = self.balancers[entry].arrive_with_rule(
             service or self.random.choice(self.services),
             self._rule,
             self.now,
@@ -185,7 +185,7 @@
             del self._names[key]
         self._configure(entry)
         self._perform(
-            entry, fresh.take_quarantine(self.quarantine.since(0), self.now)
+            entry, fresh.apply_quarantine(self.quarantine.since(0), self.now)
         )
 
     def late(self, fingerprint: str, contact_s: float) -> int:
@@ -234,7 +234,7 @@
                 self._probe(entry, action)
             elif not isinstance(action, Cancel):
                 self._end(entry, action)
-        reports = balancer.reports()
+        reports = balancer.drain_reports()
         if reports:
             self.reports += len(reports)
             self.at(self.now + REPORT_S, lambda: self._report(entry, reports))
@@ -289,7 +289,7 @@
             load = place.load if place.alive else None
             self._perform(
                 entry,
-                balancer.take_probe(
+                balancer.record_probe(
                     probe.service,
                     probe.endpoint,
                     load,
@@ -402,7 +402,7 @@
             for report, ruling in zip(reports, rulings, strict=True):
                 if isinstance(report, TrialRequest):
                     self._perform(
-                        entry, balancer.take_ruling(report, ruling, self.now)
+                        entry, balancer.apply_ruling(report, ruling, self.now)
                     )
 
         self.at(self.now + REPORT_S, answer)
@@ -418,7 +418,9 @@
             if self.balancers[entry] is not balancer:
                 return
             for one in asked:
-                self._perform(entry, balancer.take_ruling(one, None, self.now))
+                self._perform(
+                    entry, balancer.apply_ruling(one, None, self.now)
+                )
             if others:
                 self._report(entry, others)
 
@@ -430,5 +432,5 @@
             return
         self.news += 1
         for number, balancer in enumerate(self.balancers):
-            news = self.quarantine.since(balancer.quarantine)
-            self._perform(number, balancer.take_quarantine(news, self.now))
+            news = self.quarantine.since(balancer.quarantine_index)
+            self._perform(number, balancer.apply_quarantine(news, self.now))
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -199,7 +199,7 @@
     balancer.arrive("catalogo", "GET", "/", 1.0, fingerprint="bad")
     if suspect:
         notice = Notice("catalogo", "bad", SUSPECT)
-        balancer.take_quarantine(QuarantineNews(0, 1, [notice]), 1.0)
+        balancer.apply_quarantine(QuarantineNews(0, 1, [notice]), 1.0)
     sends: list[Action] = []
     for tick in range(1, 200):
         sends += balancer.tick(1.0 + tick * 0.01)
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -205,7 +205,7 @@
     assert isinstance(probe, Probe) and probe.endpoint == bad
     used = {arrive(balancer, "GET", later).endpoint for _ in range(4)}
     assert bad not in used
-    balancer.take_probe("catalogo", bad, 0, 0.005, later)
+    balancer.record_probe("catalogo", bad, 0, 0.005, later)
     assert arrive(balancer, "GET", later).endpoint == bad
 
 
@@ -223,7 +223,7 @@
         outcome = LOST if send.endpoint == bad.endpoint else ANSWERED
         result = Result(send.call_id, 1, outcome, ANSWER_S, 1)
         balancer.finish(result, 1.0)
-    balancer.take_probe("catalogo", bad.endpoint, None, 0.005, 2.0)
+    balancer.record_probe("catalogo", bad.endpoint, None, 0.005, 2.0)
     soon = {arrive(balancer, "GET", 2.0).endpoint for _ in range(2)}
     assert bad.endpoint not in soon
     later = 1.1 + FIRST_EJECTION_S + UNPROBED_S
--- a/tests/test_balancers_stateful.py
+++ b/tests/test_balancers_stateful.py
@@ -208,7 +208,7 @@
     def probe(self, address: str, load: int | None) -> None:
         """Let a probe end, also one nobody waits for."""
         self.take(
-            self.balancer.take_probe(
+            self.balancer.record_probe(
                 "catalogo", address, load, 0.005, self.now
             )
         )
@@ -310,7 +310,7 @@
         index = pick % len(self.asked)
         address = self.asked[index] if again else self.asked.pop(index)
         self.take(
-            self.balancer.take_probe(
+            self.balancer.record_probe(
                 "catalogo", address, load, 0.001, self.now, stretch
             )
         )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -38,7 +38,7 @@
     budget = ProbeBudget(1.0, 1)
     assert budget.spend(5.0)
     follower = ProbeBudget(1.0, 1)
-    follower.follow(budget)
+    follower.continue_from(budget)
     assert not follower.spend(5.5)
     assert follower.spend(6.1)
 
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -12,11 +12,11 @@
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
 from nutmegchute_core.choosers import UNTOLD_MOST
-from nutmegchute_core.inquiries import ANSWER_S
-from nutmegchute_core.inquiries import ASK_AGAIN_S
 from nutmegchute_core.inquiries import FRESH_S
 from nutmegchute_core.inquiries import Fullness
 from nutmegchute_core.inquiries import InquiryBudget
+from nutmegchute_core.inquiries import QUERY_TIMEOUT_S
+from nutmegchute_core.inquiries import REQUERY_S
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.policies import Policy
 from nutmegchute_core.pools import CROWDED_RETRY_S
@@ -54,10 +54,10 @@
         for address in addresses:
             live.append(Announcement(SERVICE, address, zone, slots, 1))
     balancer.update_upstreams(live, 0.0)
-    call_id, actions = balancer.arrive_under(SERVICE, rule(), 0.0)
+    call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), 0.0)
     for action in actions:
         if isinstance(action, Probe):
-            actions = balancer.take_probe(
+            actions = balancer.record_probe(
                 SERVICE, action.endpoint, 0, 0.001, 0.0, 1.0
             )
     send = next(one for one in actions if isinstance(one, Send))
@@ -85,20 +85,20 @@
     a second ago, every fourth call would be late.
     """
     balancer = build()
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     (first,) = asked(actions)
     assert sent(actions) == []
-    actions = balancer.take_probe(SERVICE, first, 0, 0.001, 5.001, 5.0)
+    actions = balancer.record_probe(SERVICE, first, 0, 0.001, 5.001, 5.0)
     (second,) = asked(actions)
     assert sent(actions) == []
-    actions = balancer.take_probe(SERVICE, second, 1, 0.001, 5.002, 1.0)
+    actions = balancer.record_probe(SERVICE, second, 1, 0.001, 5.002, 1.0)
     assert sent(actions) == [second]
 
 
 def test_without_inquiries_the_call_goes_by_old_news() -> None:
     """Send at once where asking is switched off."""
     balancer = build("inquiries")
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     assert asked(actions) == []
     assert len(sent(actions)) == 1
 
@@ -106,7 +106,7 @@
 def test_others_are_asked_where_the_first_do_not_suit() -> None:
     """Ask all of the zone, then elsewhere, then hold the call."""
     balancer = build()
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     seen: list[str] = []
     now = 5.0
     while asked(actions):
@@ -115,7 +115,9 @@
         seen += found
         for address in found:
             now += 0.0005
-            actions = balancer.take_probe(SERVICE, address, 0, 0.001, now, 5.0)
+            actions = balancer.record_probe(
+                SERVICE, address, 0, 0.001, now, 5.0
+            )
     assert set(seen[:5]) == set(NEAR)
     assert set(seen[5:]) == set(FAR)
     assert sent(actions) == []
@@ -124,11 +126,11 @@
 def test_silent_endpoints_hold_a_call_for_a_while_only() -> None:
     """Send by what is known when no answer comes to any question."""
     balancer = build()
-    balancer.arrive_under(SERVICE, rule(), 5.0)
+    balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
     actions: list[Action] = []
     while not sent(actions) and now < 6.0:
-        now += ANSWER_S
+        now += QUERY_TIMEOUT_S
         actions = balancer.tick(now)
     assert sent(actions)
     assert now < 5.3
@@ -142,14 +144,14 @@
     another call tells of a free slot; the held call goes there.
     """
     balancer = build()
-    first, actions = balancer.arrive_under(SERVICE, rule(), 4.9)
+    first, actions = balancer.arrive_with_rule(SERVICE, rule(), 4.9)
     address = asked(actions)[0]
-    actions = balancer.take_probe(SERVICE, address, 0, 0.001, 4.9, 1.0)
+    actions = balancer.record_probe(SERVICE, address, 0, 0.001, 4.9, 1.0)
     send = next(one for one in actions if isinstance(one, Send))
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     while asked(actions):
         for one in asked(actions):
-            actions = balancer.take_probe(SERVICE, one, 5, 0.001, 5.001, 1.0)
+            actions = balancer.record_probe(SERVICE, one, 5, 0.001, 5.001, 1.0)
     assert sent(actions) == []
     result = Result(first, send.attempt, ANSWERED, 0.12, 0, stretch=1.0)
     assert sent(balancer.finish(result, 5.02)) == [address]
@@ -158,10 +160,12 @@
 def test_fresh_answer_serves_the_next_call() -> None:
     """Ask nobody while an endpoint is known to be free and at pace."""
     balancer = build()
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     free = asked(actions)[0]
-    balancer.take_probe(SERVICE, free, 0, 0.001, 5.001, 1.0)
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.001 + FRESH_S / 2)
+    balancer.record_probe(SERVICE, free, 0, 0.001, 5.001, 1.0)
+    _, actions = balancer.arrive_with_rule(
+        SERVICE, rule(), 5.001 + FRESH_S / 2
+    )
     assert asked(actions) == []
     assert sent(actions) == [free]
 
@@ -173,11 +177,11 @@
     balancer.limit_inquiries(60.0, 1.0)
     live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in NEAR]
     balancer.update_upstreams(live, 0.0)
-    _, actions = balancer.arrive_under(SERVICE, rule(), 0.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 0.0)
     probe = asked(actions)
     assert len(probe) == 1
-    balancer.take_probe(SERVICE, probe[0], 1, 0.001, 0.01, None)
-    _, actions = balancer.arrive_under(SERVICE, rule(), 1.0)
+    balancer.record_probe(SERVICE, probe[0], 1, 0.001, 0.01, None)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 1.0)
     assert asked(actions) == []
     assert len(sent(actions)) == 1
 
@@ -204,13 +208,13 @@
     call would wait beyond its objective, elsewhere slots are free.
     """
     balancer = build()
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
     while asked(actions):
         for address in asked(actions):
             now += 0.0005
             load = 9 if address in NEAR else 0
-            actions = balancer.take_probe(
+            actions = balancer.record_probe(
                 SERVICE, address, load, 0.001, now, 1.0
             )
     assert set(sent(actions)) <= set(FAR)
@@ -254,9 +258,9 @@
     comes; held until one did, the retry would wait for its deadline.
     """
     balancer = build()
-    call_id, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     address = asked(actions)[0]
-    actions = balancer.take_probe(SERVICE, address, 0, 0.001, 5.001, 1.0)
+    actions = balancer.record_probe(SERVICE, address, 0, 0.001, 5.001, 1.0)
     send = next(one for one in actions if isinstance(one, Send))
     lost = Result(call_id, send.attempt, LOST, 0.05)
     actions = balancer.finish(lost, 5.05)
@@ -266,7 +270,7 @@
         actions = balancer.tick(5.06)
     other = asked(actions)[0]
     assert other != address
-    actions = balancer.take_probe(SERVICE, other, 0, 0.001, 5.061, 1.0)
+    actions = balancer.record_probe(SERVICE, other, 0, 0.001, 5.061, 1.0)
     assert sent(actions) == [other]
 
 
@@ -278,7 +282,7 @@
     """
     balancer = build()
     balancer.limit_inquiries(0.0, 0.5)
-    _, actions = balancer.arrive_under(SERVICE, rule(), 5.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     assert asked(actions) == []
     assert len(sent(actions)) == 1
 
@@ -291,7 +295,7 @@
     deadline_s: float | None = None,
 ) -> list[Send]:
     """Let a call arrive while endpoints tell these loads."""
-    _, actions = balancer.arrive_under(SERVICE, rule(), now, deadline_s)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), now, deadline_s)
     sends = []
     while actions:
         action = actions.pop(0)
@@ -300,7 +304,7 @@
         if not isinstance(action, Probe):
             continue
         load = near_load if action.endpoint in NEAR else far_load
-        actions += balancer.take_probe(
+        actions += balancer.record_probe(
             SERVICE, action.endpoint, load, 0.001, now, 1.0
         )
     return sends
@@ -379,10 +383,10 @@
     balancer = build()
     teach_slowdown(balancer, 1.7)
     assert arrive(balancer, 50.0, 9, 3) == []
-    actions = balancer.tick(50.0 + ASK_AGAIN_S)
+    actions = balancer.tick(50.0 + REQUERY_S)
     assert set(asked(actions)) <= set(FAR)
     address = asked(actions)[0]
-    actions = balancer.take_probe(SERVICE, address, 0, 0.001, 50.06, 1.0)
+    actions = balancer.record_probe(SERVICE, address, 0, 0.001, 50.06, 1.0)
     assert sent(actions) == [address]
 
 
@@ -411,11 +415,11 @@
     """
     balancer = build()
     balancer.limit_inquiries(1.0, 0.5)
-    _, actions = balancer.arrive_under(SERVICE, rule(), 50.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 50.0)
     assert asked(actions)
     for number in range(5):
         now = 50.001 + number / 1000
-        _, actions = balancer.arrive_under(SERVICE, rule(), now)
+        _, actions = balancer.arrive_with_rule(SERVICE, rule(), now)
         assert sent(actions) == []
     for step in range(40):
         actions = balancer.tick(50.02 + step / 50)
@@ -433,9 +437,9 @@
 
 def untold(balancer: Balancer, now: float) -> tuple[int, list[Action]]:
     """Let a call arrive; questions are answered without a load."""
-    call_id, actions = balancer.arrive_under(SERVICE, rule(), now)
+    call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), now)
     for address in asked(actions):
-        actions = balancer.take_probe(
+        actions = balancer.record_probe(
             SERVICE, address, None, 0.008, now + 0.008, None, True
         )
     return call_id, actions
@@ -496,21 +500,23 @@
     """Go on asking after a few answers without a load, not for ever."""
     balancer = build()
     for number in range(UNTOLD_MOST):
-        _, actions = balancer.arrive_under(SERVICE, rule(), 5.0 + number)
+        _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0 + number)
         assert len(asked(actions)) == 1
-        balancer.take_probe(
+        balancer.record_probe(
             SERVICE, asked(actions)[0], None, 0.001, 5.0 + number, None, True
         )
-    _, actions = balancer.arrive_under(SERVICE, rule(), 50.0)
+    _, actions = balancer.arrive_with_rule(SERVICE, rule(), 50.0)
     assert asked(actions) == []
 
 
 def crowd(balancer: Balancer, now: float) -> tuple[int, list[Action]]:
     """Let a call arrive while every endpoint says that it is full."""
-    call_id, actions = balancer.arrive_under(SERVICE, rule(), now, 1.2)
+    call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), now, 1.2)
     while asked(actions):
         for address in asked(actions):
-            actions = balancer.take_probe(SERVICE, address, 9, 0.001, now, 1.0)
+            actions = balancer.record_probe(
+                SERVICE, address, 9, 0.001, now, 1.0
+            )
     return call_id, actions
 
 
@@ -544,7 +550,7 @@
         assert now is not None and now < 5.5
         actions = balancer.tick(now)
         for address in asked(actions):
-            actions += balancer.take_probe(
+            actions += balancer.record_probe(
                 SERVICE, address, 9, 0.001, now, 1.0
             )
         refused = [one for one in actions if isinstance(one, Refuse)]
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -52,7 +52,7 @@
         """Hold a call and return what it asks of control."""
         call = self.call()
         assert self.isolation.hold(call, 0.0)
-        request = self.isolation.reports()[-1]
+        request = self.isolation.drain_reports()[-1]
         assert isinstance(request, TrialRequest)
         return call, request
 
@@ -78,7 +78,7 @@
     entry.end(call, LOST)
     entry.end(entry.sent(), ANSWERED)
     assert entry.isolation.look(call, 0.0).outcome == FREE
-    assert entry.isolation.reports() == []
+    assert entry.isolation.drain_reports() == []
 
 
 def test_crash_makes_a_suspect_before_control_says_so() -> None:
@@ -87,11 +87,11 @@
     call = entry.sent()
     entry.end(call, LOST, crashed=True)
     assert entry.isolation.look(call, 0.1).outcome == WAIT
-    reports = entry.isolation.reports()
+    reports = entry.isolation.drain_reports()
     assert reports == [Crash(DESK, BAD, "i-1#0", 0, 0.1)]
     entry.end(entry.sent(), ANSWERED)
     assert entry.isolation.look(call, 0.1).outcome == FREE
-    assert entry.isolation.reports() == [Acquittal(DESK, BAD)]
+    assert entry.isolation.drain_reports() == [Acquittal(DESK, BAD)]
 
 
 def test_one_call_of_a_suspect_asks() -> None:
@@ -102,10 +102,10 @@
     others = [entry.call() for _ in range(MOST_HELD - 1)]
     assert all(entry.isolation.hold(one, 0.0) for one in others)
     assert not entry.isolation.hold(entry.call(), 0.0)
-    assert entry.isolation.reports() == []
-    releases = entry.isolation.take_ruling(request, Ruling(TRY), 0.0)
+    assert entry.isolation.drain_reports() == []
+    releases = entry.isolation.apply_ruling(request, Ruling(TRY), 0.0)
     assert [one.call for one in releases] == [first]
-    assert first.trial == request.token
+    assert first.trial_token == request.token
     first.record_send("10.0.0.1:80", 0.0)
     releases = entry.end(first, ANSWERED)
     assert [one.call for one in releases] == others
@@ -120,9 +120,9 @@
     assert [one.ruling.outcome for one in releases] == [QUARANTINED]
     assert not entry.isolation.holds(call)
     # The trial was granted meanwhile: its place is given back.
-    assert entry.isolation.take_ruling(request, Ruling(TRY), 0.0) == []
+    assert entry.isolation.apply_ruling(request, Ruling(TRY), 0.0) == []
     end = TrialEnd(DESK, BAD, request.token, False)
-    assert entry.isolation.reports() == [end]
+    assert entry.isolation.drain_reports() == [end]
 
 
 def test_call_that_ends_while_it_asks() -> None:
@@ -133,11 +133,11 @@
     second = entry.call()
     entry.isolation.hold(second, 0.0)
     entry.isolation.forget(first, False)
-    due = entry.timers.take(0.0)
+    due = entry.timers.pop_due(0.0)
     assert due is not None
     assert due[1] == second.call_id
     entry.isolation.seek(second.key, 0.0)
-    assert isinstance(entry.isolation.reports()[-1], TrialRequest)
+    assert isinstance(entry.isolation.drain_reports()[-1], TrialRequest)
 
 
 def test_without_control_an_entry_stops_after_three() -> None:
@@ -146,9 +146,9 @@
     entry.end(entry.sent(), LOST, crashed=True)
     for _ in range(2):
         call, request = entry.held()
-        assert entry.isolation.take_ruling(request, None, 0.1)
+        assert entry.isolation.apply_ruling(request, None, 0.1)
         call.record_send("10.0.0.1:80", 0.1)
         entry.end(call, LOST, crashed=True)
     _, request = entry.held()
-    releases = entry.isolation.take_ruling(request, None, 0.1)
+    releases = entry.isolation.apply_ruling(request, None, 0.1)
     assert [one.ruling.outcome for one in releases] == [QUARANTINED]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,7 +1,7 @@
 """Test the window that bounds one entry's calls in flight."""
 
-from nutmegchute_core.limits import BACK_OFF
-from nutmegchute_core.limits import LEAST_SHARE
+from nutmegchute_core.limits import MIN_SHARE
+from nutmegchute_core.limits import SHRINK_FACTOR
 from nutmegchute_core.limits import Window
 
 
@@ -22,7 +22,7 @@
     before = window.size
     for _ in range(5):
         window.learn(crowded=True, in_flight=16, now=1.0, pause_s=0.02)
-    assert window.size == before * BACK_OFF
+    assert window.size == before * SHRINK_FACTOR
 
 
 def test_never_falls_below_its_part_of_the_share() -> None:
@@ -30,7 +30,7 @@
     window = grown()
     for step in range(500):
         window.learn(crowded=True, in_flight=9, now=float(step), pause_s=0.1)
-    assert window.size == 8.0 * LEAST_SHARE
+    assert window.size == 8.0 * MIN_SHARE
 
 
 def test_grows_only_while_in_use() -> None:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,8 +1,8 @@
 """Hold calls after a process stood still."""
 
-from nutmegchute_core.pauses import Pause
+from nutmegchute_core.pauses import HOLD_S
 from nutmegchute_core.pauses import PAUSE_S
-from nutmegchute_core.pauses import QUIET_S
+from nutmegchute_core.pauses import PauseDetector
 
 
 def test_calls_are_held_until_a_replica_was_heard() -> None:
@@ -12,18 +12,18 @@
     leaves, and is told that this is known. The vm wakes with a caller's
     request before it; sent by what was known, it would reach the endpoint.
     """
-    pause = Pause(0.0)
-    assert pause.look(0.1) is None
-    assert not pause.quiet(0.1)
-    assert pause.look(3.2) is not None
-    assert pause.quiet(3.2)
-    pause.hear()
-    assert not pause.quiet(3.21)
+    pause = PauseDetector(0.0)
+    assert pause.observe(0.1) is None
+    assert not pause.is_holding(0.1)
+    assert pause.observe(3.2) is not None
+    assert pause.is_holding(3.2)
+    pause.confirm_contact()
+    assert not pause.is_holding(3.21)
 
 
 def test_lost_replica_holds_calls_for_a_moment_only() -> None:
     """Go on without a replica that does not answer."""
-    pause = Pause(0.0)
-    pause.look(PAUSE_S + 0.1)
-    assert pause.quiet(PAUSE_S + QUIET_S)
-    assert not pause.quiet(PAUSE_S + 0.1 + QUIET_S)
+    pause = PauseDetector(0.0)
+    pause.observe(PAUSE_S + 0.1)
+    assert pause.is_holding(PAUSE_S + HOLD_S)
+    assert not pause.is_holding(PAUSE_S + 0.1 + HOLD_S)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,6 +1,6 @@
 """Test who waits for whom."""
 
-from nutmegchute_core.queues import HEAD_START_S
+from nutmegchute_core.queues import PRIORITY_DELAY_S
 from nutmegchute_core.queues import WaitQueue
 
 
@@ -24,8 +24,8 @@
     """
     queue = WaitQueue()
     queue.push(1, "background", 0.0)
-    queue.push(2, "interactive", HEAD_START_S["background"] - 0.1)
-    queue.push(3, "interactive", HEAD_START_S["background"] + 0.1)
+    queue.push(2, "interactive", PRIORITY_DELAY_S["background"] - 0.1)
+    queue.push(3, "interactive", PRIORITY_DELAY_S["background"] + 0.1)
     assert drain(queue) == [2, 1, 3]
 
 
@@ -43,11 +43,11 @@
     queue.push(1, "background", 0.0)
     queue.push(2, "action", 0.0)
     queue.push(3, "interactive", 0.0)
-    assert queue.ahead_of("interactive") == 1
-    assert queue.ahead_of("background") == 3
+    assert queue.count_ahead("interactive") == 1
+    assert queue.count_ahead("background") == 3
     assert queue.remove(3)
     assert not queue.remove(3)
-    assert queue.ahead_of("interactive") == 0
+    assert queue.count_ahead("interactive") == 0
     assert len(queue) == 2
 
 
@@ -57,5 +57,5 @@
     for call_id in range(5):
         queue.push(call_id, "interactive", 0.0, late_at=0.3)
     queue.push(5, "interactive", 0.9, late_at=1.2)
-    assert queue.ahead_of("interactive", late_at=1.3, now=1.0) == 1
-    assert queue.ahead_of("interactive", late_at=0.9, now=1.0) == 6
+    assert queue.count_ahead("interactive", late_at=1.3, now=1.0) == 1
+    assert queue.count_ahead("interactive", late_at=0.9, now=1.0) == 6
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -260,7 +260,7 @@
     balancer.update_upstreams(cold, 5.0)
     assert call(balancer, 5.0)
     for one in cold:
-        balancer.take_probe(
+        balancer.record_probe(
             SERVICE, one.endpoint, 0, 0.001, 6.0, 1.0, True, 2.0
         )
     reached = []
@@ -268,7 +268,7 @@
         reached += call(balancer, 6.0 + number * 0.01)
     assert len(reached) < 12
     for one in cold:
-        balancer.take_probe(
+        balancer.record_probe(
             SERVICE, one.endpoint, 0, 0.001, 7.0, 1.0, True, 0.0
         )
     assert call(balancer, 7.0)
@@ -279,9 +279,9 @@
     balancer = entry_of(135)
     known = [endpoint(number, 0.0) for number in range(1, 13)]
     balancer.update_upstreams(known, 5.0)
-    balancer.take_evacuations(EvacuationNews(1, [ZONES[0]]), 6.0)
+    balancer.apply_evacuations(EvacuationNews(1, [ZONES[0]]), 6.0)
     assert not call(balancer, 7.0)
-    balancer.take_evacuations(EvacuationNews(2, []), 8.0)
+    balancer.apply_evacuations(EvacuationNews(2, []), 8.0)
     reached = []
     for number in range(50):
         reached += call(balancer, 8.0 + number * 0.01)
