--- a/packages/core/nutmegchute_core/admissions.py
+++ b/packages/core/nutmegchute_core/admissions.py
@@ -7,7 +7,7 @@
 
 from .memberships import Member
 from .memberships import Membership
-from .memberships import ReplicaWish
+from .memberships import MembershipChange
 from .replicas import Replica
 
 # A namesake that introduces itself under a new identity proves that the old
@@ -20,13 +20,13 @@
 
 def due_change(
     replica: Replica, waiting: dict[str, Member], now: float, listed: bool
-) -> ReplicaWish | None:
+) -> MembershipChange | None:
     """Return the next change that a leader should make, if one is due."""
     silent_s = {}
     for member in replica.membership.members:
-        heard_at = replica.heard_at(member.identity)
-        if heard_at is not None:
-            silent_s[member.identity] = now - heard_at
+        last_contact_at = replica.last_contact_at(member.identity)
+        if last_contact_at is not None:
+            silent_s[member.identity] = now - last_contact_at
     return next_change(replica.membership, waiting, silent_s, listed)
 
 
@@ -35,7 +35,7 @@
     waiting: dict[str, Member],
     silent_s: dict[str, float],
     listed: bool = False,
-) -> ReplicaWish | None:
+) -> MembershipChange | None:
     """Return the next change of the membership, if one is due.
 
     ``waiting`` maps names to those that ask to be taken in, ``silent_s``
@@ -49,14 +49,14 @@
         if old is None:
             if listed:
                 continue
-            return ReplicaWish("add", name)
+            return MembershipChange("add", name)
         if silent_s.get(old.identity, 0.0) >= NAMESAKE_SILENT_S:
-            return ReplicaWish("replace", name)
+            return MembershipChange("replace", name)
     if listed:
         return None
     for member in membership.members:
         if member.voter:
             continue
         if silent_s.get(member.identity, 0.0) >= REMOVED_SILENT_S:
-            return ReplicaWish("remove", member.name)
+            return MembershipChange("remove", member.name)
     return None
--- a/packages/core/nutmegchute_core/followings.py
+++ b/packages/core/nutmegchute_core/followings.py
@@ -74,7 +74,7 @@
     def advance(self, node: Node, now: float) -> dict[int, FollowReply]:
         """Return the answers that are due, by ticket."""
         answers = self._observe(node, now)
-        if not node.replica.ready:
+        if not node.replica.is_ready:
             return answers
         for ticket, question in list(self._open.items()):
             if not self._is_confirmed(question, node):
@@ -88,13 +88,13 @@
 
     def in_force(self, index: int, node: Node, now: float) -> bool:
         """Tell whether no live entry still acts on an older index."""
-        if not node.replica.ready or self._term != node.replica.term:
+        if not node.replica.is_ready or self._term != node.replica.term:
             return False
         return self._fleet.in_force(index, node.machine.entries, now)
 
     def forget_silent(self, node: Node, now: float) -> None:
         """Withdraw the entries that have long been silent."""
-        if not node.replica.ready or self._term != node.replica.term:
+        if not node.replica.is_ready or self._term != node.replica.term:
             return
         for entry in sorted(node.machine.entries):
             if self._fleet.silent(entry, now) > FORGET_S:
@@ -115,7 +115,7 @@
         # A leader that was deposed without hearing of it would answer with
         # an older tree, and a restarted entry would act on it.
         if question.wanted is not None:
-            return node.replica.confirmed >= question.wanted
+            return node.replica.confirmed_round >= question.wanted
         return question.request.entry in node.machine.entries
 
 
--- a/packages/core/nutmegchute_core/formations.py
+++ b/packages/core/nutmegchute_core/formations.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from .memberships import group_of
+from .memberships import group_id
 from .memberships import Member
 from .memberships import Membership
 
@@ -39,7 +39,7 @@
             own.grpc_address: Introduction(own)
         }
 
-    def hear(self, introduction: Introduction) -> None:
+    def record(self, introduction: Introduction) -> None:
         """Take another replica's introduction."""
         self._heard[introduction.member.grpc_address] = introduction
 
@@ -57,4 +57,4 @@
                 return None
             members.append(heard.member)
         genesis = Membership(members)
-        return Introduction(self._own, group_of(genesis), genesis)
+        return Introduction(self._own, group_id(genesis), genesis)
--- a/packages/core/nutmegchute_core/outsiders.py
+++ b/packages/core/nutmegchute_core/join_requests.py
@@ -8,7 +8,7 @@
 OUTSIDER_S = 5.0
 
 
-class Outsiders:
+class JoinRequests:
     """Hold who introduced itself lately."""
 
     __slots__ = ("_heard",)
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._heard: dict[str, tuple[Member, float]] = {}
 
-    def hear(self, introduction: Introduction, now: float) -> None:
+    def record(self, introduction: Introduction, now: float) -> None:
         """Take an introduction.
 
         Founders introduce themselves as well, but before they belong to
@@ -27,7 +27,7 @@
         member = introduction.member
         self._heard[member.name] = (member, now)
 
-    def waiting(self, membership: Membership, now: float) -> dict[str, Member]:
+    def pending(self, membership: Membership, now: float) -> dict[str, Member]:
         """Map names to the replicas that wait to become members."""
         found = {}
         for name, (member, heard_at) in self._heard.items():
--- a/packages/core/nutmegchute_core/leaderships.py
+++ b/packages/core/nutmegchute_core/leaderships.py
@@ -25,7 +25,7 @@
     """Track the others during one term and decide what they are sent."""
 
     __slots__ = (
-        "_confirmed",
+        "_confirmed_round",
         "_identity",
         "_log",
         "_peers",
@@ -39,7 +39,7 @@
         self._log = log
         self._peers: dict[str, Progress] = {}
         self._round = 0
-        self._confirmed = 0
+        self._confirmed_round = 0
         self.track(now)
 
     @property
@@ -48,14 +48,14 @@
         return self._round + 1
 
     @property
-    def confirmed(self) -> int:
+    def confirmed_round(self) -> int:
         """Give the last round that a quorum answered."""
-        return self._confirmed
+        return self._confirmed_round
 
-    def heard_at(self, identity: str) -> float | None:
+    def last_contact_at(self, identity: str) -> float | None:
         """Tell when a replica was last heard from."""
         progress = self._peers.get(identity)
-        return progress.heard_at if progress is not None else None
+        return progress.last_contact_at if progress is not None else None
 
     def match_index(self, identity: str) -> int | None:
         """Tell how far a replica's log is known to agree."""
@@ -89,7 +89,7 @@
         caught_up = set()
         leaving = set()
         for identity, peer in self._peers.items():
-            silent_s[identity] = now - peer.heard_at
+            silent_s[identity] = now - peer.last_contact_at
             if now < peer.leaving_until:
                 leaving.add(identity)
             if not peer.match or not self._is_recent(identity, now):
@@ -208,14 +208,14 @@
         progress = self._peers.get(reply.source)
         if progress is None or reply.term != self._term:
             return None
-        progress.heard_at = now
+        progress.last_contact_at = now
         progress.round = max(progress.round, reply.round)
         self._confirm()
         return progress
 
     def _confirm(self) -> None:
         rounds = {one: peer.round for one, peer in self._peers.items()}
-        self._confirmed = self._majority(rounds, self._round)
+        self._confirmed_round = self._majority(rounds, self._round)
 
     def _majority(self, values: dict[str, int], own: int) -> int:
         voters = self._log.membership.voters
@@ -226,5 +226,7 @@
         return sorted(found)[len(voters) - self._log.membership.quorum]
 
     def _is_recent(self, identity: str, now: float) -> bool:
-        heard_at = self.heard_at(identity)
-        return heard_at is not None and now - heard_at <= ELECTION_S
+        last_contact_at = self.last_contact_at(identity)
+        return (
+            last_contact_at is not None and now - last_contact_at <= ELECTION_S
+        )
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -46,7 +46,7 @@
     evacuations: EvacuationState = EvacuationState()
 
 
-class Machine:
+class StateMachine:
     """Hold the replicated state; equal logs give equal machines."""
 
     __slots__ = (
--- a/packages/core/nutmegchute_core/memberships.py
+++ b/packages/core/nutmegchute_core/memberships.py
@@ -96,7 +96,7 @@
         return Membership(members)
 
 
-class ReplicaWish(msgspec.Struct, frozen=True):
+class MembershipChange(msgspec.Struct, frozen=True):
     """Say how an operator wants the replicas changed."""
 
     action: str
@@ -160,7 +160,7 @@
     at_unix_s: float = 0.0
 
 
-def group_of(genesis: Membership) -> str:
+def group_id(genesis: Membership) -> str:
     """Name a group by the identities that formed it."""
     text = ",".join(sorted(one.identity for one in genesis.members))
     return str(xxhash.xxh3_128_hexdigest(text.encode()))
--- a/packages/core/nutmegchute_core/nodes.py
+++ b/packages/core/nutmegchute_core/nodes.py
@@ -6,9 +6,9 @@
 
 from .commands import Command
 from .logs import Log
-from .machines import Machine
 from .machines import MachineState
 from .machines import Outcome
+from .machines import StateMachine
 from .messages import HardState
 from .messages import LogEntry
 from .messages import Message
@@ -25,7 +25,7 @@
 _STATE_DECODER = msgspec.msgpack.Decoder(MachineState)
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredState(msgspec.Struct, frozen=True):
     """Hold what a disk gave back after a start."""
 
     hard_state: HardState
@@ -48,18 +48,18 @@
         """Keep an own snapshot; the log before it may go."""
 
 
-class Decided(msgspec.Struct, frozen=True):
+class AppliedEntry(msgspec.Struct, frozen=True):
     """Tell what became of a committed entry."""
 
     entry: LogEntry
     outcome: Outcome
 
 
-class Flushed(msgspec.Struct, frozen=True):
+class FlushResult(msgspec.Struct, frozen=True):
     """Hold what the driver sends and reports after a flush."""
 
     messages: list[Message]
-    decided: list[Decided]
+    decided: list[AppliedEntry]
     restored: bool
 
 
@@ -71,13 +71,13 @@
     def __init__(
         self,
         identity: str,
-        stored: Stored,
+        stored: StoredState,
         store: Store,
         now: float,
         seed: int,
     ) -> None:
         self._store = store
-        self._machine = Machine()
+        self._machine = StateMachine()
         self._restore(stored.snapshot)
         log = Log(stored.snapshot, stored.entries)
         self._replica = Replica(identity, stored.hard_state, log, now, seed)
@@ -88,7 +88,7 @@
         return self._replica
 
     @property
-    def machine(self) -> Machine:
+    def machine(self) -> StateMachine:
         """Give the replicated state as applied here."""
         return self._machine
 
@@ -96,13 +96,13 @@
         """Append a command and return its index and term."""
         return self._replica.propose(command), self._replica.term
 
-    def flush(self) -> Flushed:
+    def flush(self) -> FlushResult:
         """Make durable, apply, and return what is to be sent.
 
         An error of the store passes through: this node must not be used
         any further, since it holds promises that the disk does not.
         """
-        effects = self._replica.drain()
+        effects = self._replica.take_effects()
         # Durable first: a vote or an acknowledgement that leaves before
         # the sync could be forgotten by a crash and given twice.
         if effects.hard_state is not None or effects.entries:
@@ -113,9 +113,9 @@
         decided = []
         for entry in effects.committed:
             outcome = self._machine.apply(entry)
-            decided.append(Decided(entry, outcome))
+            decided.append(AppliedEntry(entry, outcome))
         self._compact()
-        return Flushed(
+        return FlushResult(
             messages=effects.messages,
             decided=decided,
             restored=effects.snapshot is not None,
--- a/packages/core/nutmegchute_core/progress.py
+++ b/packages/core/nutmegchute_core/progress.py
@@ -5,7 +5,7 @@
     """Hold what the leader knows of one replica."""
 
     __slots__ = (
-        "heard_at",
+        "last_contact_at",
         "install_offset",
         "leaving_until",
         "match",
@@ -16,7 +16,7 @@
     def __init__(self, following: int, now: float) -> None:
         self.next = following
         self.match = 0
-        self.heard_at = now
+        self.last_contact_at = now
         self.leaving_until = now
         self.round = 0
         self.install_offset: int | None = None
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -132,7 +132,7 @@
         return self._hard_state.term
 
     @property
-    def commit(self) -> int:
+    def commit_index(self) -> int:
         """Give the last index known to be committed."""
         return self._commit
 
@@ -157,14 +157,14 @@
         return set(self._votes)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether this leader knows all that was committed before."""
         return self._state == LEADER and self._commit >= self._term_start
 
     @property
-    def confirmed(self) -> int:
+    def confirmed_round(self) -> int:
         """Give the last round that a quorum answered."""
-        return self._leadership.confirmed if self._leadership else 0
+        return self._leadership.confirmed_round if self._leadership else 0
 
     @property
     def wake_at(self) -> float:
@@ -173,7 +173,7 @@
             return self._heartbeat_at
         return self._election_at
 
-    def is_outside(self, now: float) -> bool:
+    def should_request_join(self, now: float) -> bool:
         """Tell whether this replica may have to ask to be taken in.
 
         One that was left out while it was away still reads in its own log
@@ -183,11 +183,11 @@
             return True
         return not self.in_contact(now)
 
-    def heard_at(self, identity: str) -> float | None:
+    def last_contact_at(self, identity: str) -> float | None:
         """Tell when this leader last heard from a replica."""
         if self._leadership is None:
             return None
-        return self._leadership.heard_at(identity)
+        return self._leadership.last_contact_at(identity)
 
     def in_contact(self, now: float) -> bool:
         """Tell whether a majority is in reach, as far as can be told.
@@ -228,7 +228,7 @@
             raise NotLeaderError(self._leader)
         # Two changes under way at once, or one before this term's first
         # commit, can leave two majorities that share no replica.
-        if self._log.membership_index > self._commit or not self.ready:
+        if self._log.membership_index > self._commit or not self.is_ready:
             raise ReconfigurationError("an earlier change is under way")
         before = set(self.membership.voters)
         if len(before ^ set(change.membership.voters)) > 1:
@@ -252,7 +252,7 @@
             raise NotLeaderError(self._leader)
         return self._leadership.next_round
 
-    def hand_over(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Let the follower that has come furthest lead; this one stops.
 
         Otherwise each planned restart of a leader would cost as long as a
@@ -282,7 +282,7 @@
         over first, again if the order got lost.
         """
         if self._leadership is not None:
-            self.hand_over(now)
+            self.transfer_leadership(now)
             return
         if self._leader is None:
             return
@@ -339,7 +339,7 @@
         else:
             self._on_install_reply(message, now)
 
-    def drain(self) -> Effects:
+    def take_effects(self) -> Effects:
         """Take the effects gathered since the last call."""
         if self._leadership is not None and self._append_due:
             # Proposals gathered since the last call share one message and
@@ -376,7 +376,7 @@
             self._broadcast(leadership)
 
     def _change_voters(self, leadership: Leadership, now: float) -> None:
-        if self._log.membership_index > self._commit or not self.ready:
+        if self._log.membership_index > self._commit or not self.is_ready:
             return
         membership = leadership.next_voters(now)
         if membership is None:
--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -17,11 +17,11 @@
 from nutmegchute_core.machines import Outcome
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
+from nutmegchute_core.memberships import MembershipChange
 from nutmegchute_core.memberships import Reconfigure
-from nutmegchute_core.memberships import ReplicaWish
 from nutmegchute_core.messages import Delivery
 from nutmegchute_core.messages import Message
-from nutmegchute_core.nodes import Flushed
+from nutmegchute_core.nodes import FlushResult
 from nutmegchute_core.nodes import Node
 from nutmegchute_core.replicas import LEADER
 from nutmegchute_core.trees import Answer
@@ -210,7 +210,7 @@
         return answer
 
     async def reconfigure(
-        self, wish: ReplicaWish, operator: str
+        self, wish: MembershipChange, operator: str
     ) -> Membership:
         """Add, replace or remove a replica by name.
 
@@ -243,7 +243,9 @@
         term = node.replica.term
         wanted = node.replica.begin_read()
         give_up_at = self._loop.time() + READ_S
-        while not (node.replica.ready and node.replica.confirmed >= wanted):
+        while not (
+            node.replica.is_ready and node.replica.confirmed_round >= wanted
+        ):
             if self._loop.time() >= give_up_at:
                 raise TimeoutError
             await asyncio.sleep(READ_TICK_S)
@@ -292,7 +294,7 @@
     async def _hand_over(self, node: Node) -> None:
         end = self._loop.time() + HAND_OVER_S
         while node.replica.state == LEADER and self._loop.time() < end:
-            node.replica.hand_over(self._loop.time())
+            node.replica.transfer_leadership(self._loop.time())
             self._flush()
             await asyncio.sleep(HAND_OVER_TICK_S)
 
@@ -351,7 +353,7 @@
         self._arm()
         return flushed.messages
 
-    def _settle(self, node: Node, flushed: Flushed) -> None:
+    def _settle(self, node: Node, flushed: FlushResult) -> None:
         for decided in flushed.decided:
             self._waits.decide(decided)
         if flushed.restored:
@@ -449,9 +451,9 @@
         if node is None:
             return
         self._quorum_report.note(node.replica, self._loop.time())
-        if node.replica.is_outside(self._loop.time()):
+        if node.replica.should_request_join(self._loop.time()):
             await self._group.introduce(node.replica.membership.members)
-        if not node.replica.ready:
+        if not node.replica.is_ready:
             return
         self._follows.forget_silent(node)
         try:
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from nutmegchute_core.machines import Machine
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.replicas import LEADER
 
 from .agreements import Agreement
@@ -149,7 +149,7 @@
         leads = node.replica.state == LEADER
         found = {
             "leads": float(leads),
-            "commit": float(node.replica.commit),
+            "commit": float(node.replica.commit_index),
             "voters": float(len(node.replica.membership.voters)),
             "quarantined": float(node.machine.quarantine.count),
             "evacuated_zones": float(
@@ -169,10 +169,10 @@
         self._agreement.close()
 
     @property
-    def machine(self) -> Machine:
+    def machine(self) -> StateMachine:
         """Give the replicated state as applied here."""
         node = self._agreement.node
-        return node.machine if node is not None else Machine()
+        return node.machine if node is not None else StateMachine()
 
     def status(self) -> dict[str, Any]:
         """Describe this replica and the entries that follow it."""
@@ -186,7 +186,7 @@
             "leader": self._agreement.leader_name,
             "problem": None,
             "term": node.replica.term,
-            "commit": node.replica.commit,
+            "commit": node.replica.commit_index,
             "snapshot": node.replica.log.snapshot.index,
             "index": index,
             "entries": {
--- a/packages/daemon/nutmegchute_daemon/descriptions.py
+++ b/packages/daemon/nutmegchute_daemon/descriptions.py
@@ -28,7 +28,7 @@
     Operators read from the leader. One that has just been elected after a
     start has applied nothing since its snapshot, and would show an empty tree.
     """
-    if replica.state == LEADER and not replica.ready:
+    if replica.state == LEADER and not replica.is_ready:
         return TAKING_OVER
     return replica.state
 
@@ -37,7 +37,7 @@
     replica: Replica, member: Member, now: float
 ) -> dict[str, Any]:
     """Describe one member as a replica knows it."""
-    heard_at = replica.heard_at(member.identity)
+    heard_at = replica.last_contact_at(member.identity)
     leads = member.identity == replica.leader
     kind = "voter" if member.voter else "learner"
     return {
--- a/packages/daemon/nutmegchute_daemon/groups.py
+++ b/packages/daemon/nutmegchute_daemon/groups.py
@@ -5,9 +5,9 @@
 
 from nutmegchute_core.formations import Formation
 from nutmegchute_core.formations import Introduction
+from nutmegchute_core.join_requests import JoinRequests
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
-from nutmegchute_core.outsiders import Outsiders
 
 from .events import Event
 from .events import log
@@ -36,7 +36,7 @@
         "_leader",
         "_links",
         "_member",
-        "_outsiders",
+        "_join_requests",
         "_settings",
         "_storage",
     )
@@ -69,7 +69,7 @@
         # between its first start and the group's forming must still found.
         founders = settings.replicas if identity.founding else []
         self._formation = Formation(self._member, founders)
-        self._outsiders = Outsiders()
+        self._join_requests = JoinRequests()
         links.serve(INTRODUCE, self._on_introduce)
 
     @property
@@ -141,7 +141,7 @@
         )
         if reply is None:
             return
-        self._formation.hear(reply)
+        self._formation.record(reply)
         if refer:
             # Once: two that take each other for the leader would refer to
             # one another without end.
@@ -150,7 +150,7 @@
     def waiting(self, membership: Membership) -> dict[str, Member]:
         """Map names to the replicas that wait to become members."""
         now = asyncio.get_running_loop().time()
-        return self._outsiders.waiting(membership, now)
+        return self._join_requests.pending(membership, now)
 
     def _keep(self, found: Introduction) -> None:
         identity = Identity(
@@ -163,12 +163,12 @@
         log(event, group=found.group, identity=self.identity)
 
     async def _on_introduce(self, introduction: Introduction) -> Introduction:
-        self._formation.hear(introduction)
+        self._formation.record(introduction)
         if introduction.group is not None:
             leader = introduction.leader
             self._heard_leader = leader or introduction.member.grpc_address
         now = asyncio.get_running_loop().time()
-        self._outsiders.hear(introduction, now)
+        self._join_requests.record(introduction, now)
         return self._own_introduction()
 
     def _own_introduction(self) -> Introduction:
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -15,9 +15,9 @@
 from nutmegchute_core.evacuations import check_zone
 from nutmegchute_core.evacuations import Evacuation
 from nutmegchute_core.evacuations import EvacuationOrder
-from nutmegchute_core.machines import Machine
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Member
-from nutmegchute_core.memberships import ReplicaWish
+from nutmegchute_core.memberships import MembershipChange
 from nutmegchute_core.quarantines import Evidence
 from nutmegchute_core.quarantines import Lift
 from nutmegchute_core.trees import ACCEPTED
@@ -126,7 +126,7 @@
         """Give what takes orders to evacuate availability zones."""
 
     @property
-    def machine(self) -> Machine:
+    def machine(self) -> StateMachine:
         """Give the replicated state as applied here."""
 
     def status(self) -> dict[str, Any]:
@@ -180,7 +180,7 @@
             raise cherrypy.HTTPError(
                 403, f"{operator.name} may not change the control replicas"
             )
-        wish = ReplicaWish(**msgspec.structs.asdict(request))
+        wish = MembershipChange(**msgspec.structs.asdict(request))
         membership = self._run(
             self._daemon.agreement.reconfigure(wish, operator.name),
             "/replicas",
--- a/packages/daemon/nutmegchute_daemon/storages.py
+++ b/packages/daemon/nutmegchute_daemon/storages.py
@@ -8,7 +8,7 @@
 from nutmegchute_core.messages import HardState
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.messages import Snapshot
-from nutmegchute_core.nodes import Stored
+from nutmegchute_core.nodes import StoredState
 
 from .disks import Disk
 from .errors import StorageError
@@ -100,7 +100,7 @@
         except OSError as error:
             raise self._error(error) from error
 
-    def load(self, genesis: Membership) -> Stored:
+    def load(self, genesis: Membership) -> StoredState:
         """Read all that was synced; cut a torn last frame.
 
         :raises StorageError: something before the last frame is damaged
@@ -111,7 +111,7 @@
             self._roll()
         except OSError as error:
             raise self._error(error) from error
-        return Stored(
+        return StoredState(
             hard_state=self._hard_state,
             snapshot=snapshot,
             entries=self._continue(snapshot, entries),
--- a/packages/daemon/nutmegchute_daemon/waits.py
+++ b/packages/daemon/nutmegchute_daemon/waits.py
@@ -4,7 +4,7 @@
 
 from nutmegchute_core.errors import NotLeaderError
 from nutmegchute_core.machines import Outcome
-from nutmegchute_core.nodes import Decided
+from nutmegchute_core.nodes import AppliedEntry
 
 
 class Waits:
@@ -30,7 +30,7 @@
             if self._places.get(index) == (term, future):
                 del self._places[index]
 
-    def decide(self, decided: Decided) -> None:
+    def decide(self, decided: AppliedEntry) -> None:
         """Tell the waiter of a place what was decided there."""
         waiting = self._places.pop(decided.entry.index, None)
         if waiting is None:
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -14,15 +14,15 @@
 from nutmegchute_core.followings import Followings
 from nutmegchute_core.formations import Formation
 from nutmegchute_core.formations import Introduction
-from nutmegchute_core.machines import Machine
+from nutmegchute_core.join_requests import JoinRequests
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
+from nutmegchute_core.memberships import MembershipChange
 from nutmegchute_core.memberships import Reconfigure
-from nutmegchute_core.memberships import ReplicaWish
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.messages import Message
 from nutmegchute_core.nodes import Node
-from nutmegchute_core.outsiders import Outsiders
 from nutmegchute_core.replicas import LEADER
 from nutmegchute_core.replicas import Replica
 from nutmegchute_core.trees import Answer
@@ -75,9 +75,9 @@
         if known != answer:
             raise OracleError(f"two answers to {answer.change_id}")
 
-    def replay(self) -> Machine:
+    def replay(self) -> StateMachine:
         """Apply the one list from the start, and check what was told."""
-        machine = Machine()
+        machine = StateMachine()
         for index in sorted(self.entries):
             if index != machine.applied + 1:
                 raise OracleError(f"entry {machine.applied + 1} is lost")
@@ -97,9 +97,13 @@
     """Run one node as the control daemon does."""
 
     def __init__(
-        self, world: "World", name: str, seed: int, seeds: list[str]
+        self,
+        cluster: "SimulatedCluster",
+        name: str,
+        seed: int,
+        seeds: list[str],
     ) -> None:
-        self._world = world
+        self._cluster = cluster
         self._seeds = seeds
         self._seed = seed
         self.name = name
@@ -113,7 +117,7 @@
         self._questions: dict[int, Callable[[FollowReply], None]] = {}
         self._followings = Followings()
         self._ticket = 0
-        self._outsiders = Outsiders()
+        self._join_requests = JoinRequests()
         self._heard_leader = ""
 
     @property
@@ -141,28 +145,28 @@
         if self.node is None:
             self.kill()
             return
-        self.node.replica.hand_over(self._world.now)
+        self.node.replica.transfer_leadership(self._cluster.now)
         self._guard(self._flush)
         start = self.starts
-        self._world.after(
-            HAND_OVER_S, lambda: self._retire(start, self._world.now)
+        self._cluster.after(
+            HAND_OVER_S, lambda: self._retire(start, self._cluster.now)
         )
 
     def _retire(self, start: int, since: float) -> None:
         if start != self.starts or not self.up or self.node is None:
             return
         replica = self.node.replica
-        late = self._world.now - since >= RETIRE_S
+        late = self._cluster.now - since >= RETIRE_S
         if late or not replica.is_dispensable:
             self.kill()
             return
-        replica.retire(self._world.now)
+        replica.retire(self._cluster.now)
         self._guard(self._flush)
-        self._world.after(RETIRE_TICK_S, lambda: self._retire(start, since))
+        self._cluster.after(RETIRE_TICK_S, lambda: self._retire(start, since))
 
     def thaw(self) -> bool:
         """Tell whether the process runs."""
-        return self.up and self._world.now >= self.frozen_until
+        return self.up and self._cluster.now >= self.frozen_until
 
     def propose(self, command: Any, told: Callable[[Any], None]) -> None:
         """Propose a command, and call back when it is decided."""
@@ -181,7 +185,7 @@
         self._ticket += 1
         ticket = self._ticket
         self._questions[ticket] = told
-        now = self._world.now
+        now = self._cluster.now
         reply = self._followings.ask(ticket, request, self.node, now)
         if reply is not None:
             self._questions.pop(ticket)(reply)
@@ -191,12 +195,12 @@
         """Tell whether this leader says that an index is in force."""
         if self.node is None:
             return False
-        return self._followings.in_force(index, self.node, self._world.now)
+        return self._followings.in_force(index, self.node, self._cluster.now)
 
     def take(self, message: Message, sender: "FakeReplica") -> None:
         """Take a message and its sender, who learns of a lost disk."""
         if message.target != self._identity.identity:
-            self._world.send(
+            self._cluster.send(
                 self.name, sender.name, lambda: sender.meet(self.name)
             )
         self.receive(message)
@@ -205,7 +209,7 @@
         """Take a message from another replica."""
         if self.node is None:
             return
-        self.node.replica.receive(message, self._world.now)
+        self.node.replica.receive(message, self._cluster.now)
         self._guard(self._flush)
 
     def introduced(
@@ -214,12 +218,12 @@
         """Take another replica's introduction and answer with its own."""
         if not self.up:
             return
-        self._formation.hear(word)
+        self._formation.record(word)
         if word.group is not None:
             self._heard_leader = word.leader or word.member.name
-        self._outsiders.hear(word, self._world.now)
+        self._join_requests.record(word, self._cluster.now)
         own = self._introduction()
-        self._world.send(
+        self._cluster.send(
             self.name,
             source.name,
             lambda: source.hear_introduction(own, refer),
@@ -229,43 +233,45 @@
         """Take the answer to an introduction."""
         if not self.up:
             return
-        self._formation.hear(word)
+        self._formation.record(word)
         if refer:
             self._introduce_to(word.leader, False)
 
     def replace(self, name: str) -> None:
         """Take the outsider of a name in, in place of its namesake."""
-        self._change_group(ReplicaWish("replace", name))
+        self._change_group(MembershipChange("replace", name))
 
     def _tend(self, start: int) -> None:
         if start != self.starts or not self.up:
             return
-        self._world.after(TEND_S, lambda: self._tend(start))
+        self._cluster.after(TEND_S, lambda: self._tend(start))
         if self.node is None or not self.thaw():
             return
         replica = self.node.replica
-        if not replica.ready:
+        if not replica.is_ready:
             return
         wish = due_change(
-            replica, self._asking(replica), self._world.now, False
+            replica, self._asking(replica), self._cluster.now, False
         )
         if wish is not None:
             self._change_group(wish)
 
-    def _change_group(self, wish: ReplicaWish) -> None:
+    def _change_group(self, wish: MembershipChange) -> None:
         if self.node is None:
             return
         replica = self.node.replica
         try:
             membership = wish.apply(replica.membership, self._asking(replica))
             change = Reconfigure(membership, "test", wish.describe())
-            replica.reconfigure(change, self._world.now)
+            replica.reconfigure(change, self._cluster.now)
         except CoreError:
             return
         self._guard(self._flush)
 
     def _asking(self, replica: Replica) -> dict[str, Member]:
-        return self._outsiders.waiting(replica.membership, self._world.now)
+        return self._join_requests.pending(
+            replica.membership, self._cluster.now
+        )
 
     def _load(self) -> None:
         self._storage = Storage(self.disk)  # type: ignore[arg-type]
@@ -275,13 +281,13 @@
             self._storage.keep_identity(identity)
         self._identity = identity
         member = Member(identity.identity, self.name, self.name)
-        self._formation = Formation(member, self._world.names)
+        self._formation = Formation(member, self._cluster.names)
         if identity.group is not None:
             self._start_node()
         else:
             self._form()
         self._introduce(self.starts)
-        if self._world.tended:
+        if self._cluster.tended:
             self._tend(self.starts)
 
     def _start_node(self) -> None:
@@ -291,7 +297,7 @@
             identity=self._identity.identity,
             stored=self._storage.load(genesis),
             store=self._storage,
-            now=self._world.now,
+            now=self._cluster.now,
             seed=self._seed + self.starts,
         )
         self._arm()
@@ -308,7 +314,7 @@
     def _introduce(self, start: int) -> None:
         if start != self.starts or not self.up:
             return
-        self._world.after(INTRODUCE_S, lambda: self._introduce(start))
+        self._cluster.after(INTRODUCE_S, lambda: self._introduce(start))
         if not self.thaw():
             return
         if self.node is None:
@@ -316,7 +322,7 @@
         names = [*self._seeds, self._heard_leader]
         if self.node is not None:
             replica = self.node.replica
-            if not replica.is_outside(self._world.now):
+            if not replica.should_request_join(self._cluster.now):
                 return
             names += [one.name for one in replica.membership.members]
         for name in dict.fromkeys(names):
@@ -331,8 +337,8 @@
         if name in ("", self.name):
             return
         own = self._introduction()
-        other = self._world.replicas[name]
-        self._world.send(
+        other = self._cluster.replicas[name]
+        self._cluster.send(
             self.name, name, lambda: other.introduced(own, self, refer)
         )
 
@@ -364,7 +370,7 @@
             self._questions = {}
             self._followings = Followings()
             start = self.starts
-            self._world.after(RECOVER_S, lambda: self._recover(start))
+            self._cluster.after(RECOVER_S, lambda: self._recover(start))
 
     def _recover(self, start: int) -> None:
         if start != self.starts or not self.up or self.node is not None:
@@ -378,12 +384,12 @@
 
     def _arm(self) -> None:
         assert self.node is not None
-        wake_at = max(self.node.replica.wake_at, self._world.now + 0.001)
+        wake_at = max(self.node.replica.wake_at, self._cluster.now + 0.001)
         if self._alarm and self._alarm <= wake_at:
             return
         self._alarm = wake_at
         start = self.starts
-        self._world.at(wake_at, lambda: self._wake(wake_at, start))
+        self._cluster.at(wake_at, lambda: self._wake(wake_at, start))
 
     def _wake(self, alarm: float, start: int) -> None:
         if alarm != self._alarm:
@@ -396,24 +402,24 @@
         if not self.thaw():
             self._alarm = self.frozen_until
             until = self.frozen_until
-            self._world.at(until, lambda: self._wake(until, start))
+            self._cluster.at(until, lambda: self._wake(until, start))
             return
-        self.node.replica.tick(self._world.now)
+        self.node.replica.tick(self._cluster.now)
         self._guard(self._flush)
 
     def _flush(self) -> None:
         node = self.node
         assert node is not None
         flushed = node.flush()
-        oracle = self._world.oracle
+        oracle = self._cluster.oracle
         for decided in flushed.decided:
             oracle.apply(decided.entry)
             self._settle(decided.entry, decided.outcome)
         if node.replica.state == LEADER:
             oracle.lead(node.replica.term, node.replica.identity)
         for message in flushed.messages:
-            self._world.deliver(self.name, message)
-        answers = self._followings.advance(node, self._world.now)
+            self._cluster.deliver(self.name, message)
+        answers = self._followings.advance(node, self._cluster.now)
         for ticket, reply in answers.items():
             told = self._questions.pop(ticket, None)
             if told is not None:
@@ -429,8 +435,10 @@
 class FakeEntry:
     """Follow the tree as an entry does; check that it never goes back."""
 
-    def __init__(self, world: "World", name: str, entries: int) -> None:
-        self._world = world
+    def __init__(
+        self, cluster: "SimulatedCluster", name: str, entries: int
+    ) -> None:
+        self._cluster = cluster
         self.name = name
         self._others = entries - 1
         self.restart()
@@ -441,26 +449,28 @@
         self.index = 0
         self.standing = Standing(self._others)
         self.epoch = getattr(self, "epoch", 0) + 1
-        self._floor = self._world.in_force_index
+        self._floor = self._cluster.in_force_index
 
     def _follow(self) -> None:
-        self._world.after(FOLLOW_S, self._follow)
-        names = list(self._world.replicas)
-        target = self._world.random.choice(names)
+        self._cluster.after(FOLLOW_S, self._follow)
+        names = list(self._cluster.replicas)
+        target = self._cluster.random.choice(names)
         request = FollowRequest(self.name, self.index, hold=False)
-        asked_at = self._world.now
+        asked_at = self._cluster.now
         epoch = self.epoch
 
         def told(reply: FollowReply) -> None:
-            self._world.send(
+            self._cluster.send(
                 target, self.name, lambda: self._take(reply, asked_at, epoch)
             )
 
-        replica = self._world.replicas[target]
-        self._world.send(self.name, target, lambda: replica.ask(request, told))
+        replica = self._cluster.replicas[target]
+        self._cluster.send(
+            self.name, target, lambda: replica.ask(request, told)
+        )
 
     def _take(self, reply: FollowReply, asked_at: float, epoch: int) -> None:
-        late = self._world.now - asked_at > FOLLOW_TIMEOUT_S
+        late = self._cluster.now - asked_at > FOLLOW_TIMEOUT_S
         if epoch != self.epoch or not reply.current or late:
             return
         self.standing.renew(asked_at)
@@ -474,7 +484,7 @@
         self.index = reply.index
 
 
-class World:
+class SimulatedCluster:
     """Hold replicas, entries, a network with faults, and the clock.
 
     In a ``tended`` one the leader changes the group without an operator.
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -5,7 +5,7 @@
 from nutmegchute_core.trees import Change
 from nutmegchute_daemon.descriptions import describe_state
 from nutmegchute_daemon.descriptions import TAKING_OVER
-from nutmegchute_fakes.replicas import World
+from nutmegchute_fakes.replicas import SimulatedCluster
 from support import rule
 from support import team
 
@@ -15,24 +15,24 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_new_leader_with_an_old_tree_does_not_lead_yet(seed: int) -> None:
     """Guard operators against an empty tree right after a start."""
-    world = World(3, 1, seed)
-    world.run(3.0)
+    cluster = SimulatedCluster(3, 1, seed)
+    cluster.run(3.0)
     documents = {"lending": team(catalogo=[rule()])}
-    world.change(Change("first", "operator", {"lending": 0}, documents, 0.0))
-    world.run(1.0)
-    leader = world.leader()
+    cluster.change(Change("first", "operator", {"lending": 0}, documents, 0.0))
+    cluster.run(1.0)
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     index = leader.node.machine.tree.index
     assert index > 0
-    for replica in world.replicas.values():
+    for replica in cluster.replicas.values():
         replica.kill()
-    for replica in world.replicas.values():
+    for replica in cluster.replicas.values():
         replica.start()
     seen = set()
     for _ in range(8000):
-        world.run(STEP_S)
-        for replica in world.replicas.values():
+        cluster.run(STEP_S)
+        for replica in cluster.replicas.values():
             node = replica.node
             if node is None:
                 continue
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -14,8 +14,8 @@
 from nutmegchute_core.evacuations import EvacuationNews
 from nutmegchute_core.evacuations import EvacuationOrder
 from nutmegchute_core.evacuations import EvacuationOutcome
-from nutmegchute_core.machines import Machine
 from nutmegchute_core.machines import MachineState
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.rules import read_services
@@ -55,7 +55,7 @@
     return [one for one in actions if isinstance(one, Send)]
 
 
-def give(machine: Machine, index: int, zone: str, evacuate: bool) -> bool:
+def give(machine: StateMachine, index: int, zone: str, evacuate: bool) -> bool:
     """Apply an order; tell if it changed anything."""
     order = EvacuationOrder(zone, evacuate, "ana", float(index))
     outcome = machine.apply(LogEntry(1, index, order))
@@ -65,12 +65,12 @@
 
 def test_orders_survive_a_snapshot_with_who_gave_them() -> None:
     """Guard against an evacuation that a restarted replica forgot."""
-    machine = Machine()
+    machine = StateMachine()
     assert give(machine, 1, NEAR, True)
     assert give(machine, 2, FAR, True)
     assert give(machine, 3, FAR, False)
     data = msgspec.msgpack.encode(machine.snapshot())
-    other = Machine()
+    other = StateMachine()
     other.restore(msgspec.msgpack.decode(data, type=MachineState))
     assert other.snapshot() == machine.snapshot()
     (held,) = other.evacuations.evacuations
@@ -89,7 +89,7 @@
 
 def test_order_sent_again_changes_nothing() -> None:
     """Guard against a second audit record and a later date of the order."""
-    machine = Machine()
+    machine = StateMachine()
     assert give(machine, 1, NEAR, True)
     assert not give(machine, 2, NEAR, True)
     assert machine.evacuations.index == 1
@@ -102,9 +102,9 @@
 
 def test_state_of_before_evacuations_is_read() -> None:
     """Guard against a replica that cannot load an older snapshot."""
-    state = msgspec.to_builtins(Machine().snapshot())
+    state = msgspec.to_builtins(StateMachine().snapshot())
     del state["evacuations"]
-    Machine().restore(msgspec.convert(state, MachineState))
+    StateMachine().restore(msgspec.convert(state, MachineState))
 
 
 @pytest.mark.parametrize("name", ["", "Hall", "a b", "a/b", "a\n", "x" * 64])
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -3,8 +3,8 @@
 import msgspec
 from nutmegchute_core.commands import Command
 from nutmegchute_core.fleets import Enroll
-from nutmegchute_core.machines import Machine
 from nutmegchute_core.machines import MachineState
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Membership
 from nutmegchute_core.memberships import Reconfigure
 from nutmegchute_core.messages import LogEntry
@@ -30,11 +30,11 @@
     Change ids, conflicts, refusals, changes of replicas and the entries
     that hold leases are all asked for after a restart.
     """
-    machine = Machine()
+    machine = StateMachine()
     for index, command in enumerate(COMMANDS, 1):
         machine.apply(LogEntry(1, index, command))
     data = msgspec.msgpack.encode(machine.snapshot())
-    other = Machine()
+    other = StateMachine()
     other.restore(msgspec.msgpack.decode(data, type=MachineState))
     assert other.snapshot() == machine.snapshot()
     assert [one.outcome for one in other.tree.audit] == [
@@ -51,7 +51,7 @@
 
 def test_snapshot_is_not_changed_by_what_follows() -> None:
     """A snapshot on its way to a disk keeps the state it was taken of."""
-    machine = Machine()
+    machine = StateMachine()
     machine.apply(LogEntry(1, 1, COMMANDS[0]))
     state = machine.snapshot()
     before = msgspec.msgpack.encode(state)
--- a/tests/test_nodes.py
+++ b/tests/test_nodes.py
@@ -17,7 +17,7 @@
 from nutmegchute_core.errors import NotLeaderError
 from nutmegchute_core.trees import Change
 from nutmegchute_fakes.replicas import FakeReplica
-from nutmegchute_fakes.replicas import World
+from nutmegchute_fakes.replicas import SimulatedCluster
 from support import rule as rule_document
 from support import team
 
@@ -39,45 +39,45 @@
     @initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
         """Start a group; kept small so that snapshots come often."""
-        self.world = World(self.size, ENTRIES, seed)
-        self.world.run(3.0)
+        self.cluster = SimulatedCluster(self.size, ENTRIES, seed)
+        self.cluster.run(3.0)
 
     def pick(self, number: int) -> FakeReplica:
         """Choose a replica."""
-        names = self.world.names
-        return self.world.replicas[names[number % len(names)]]
+        names = self.cluster.names
+        return self.cluster.replicas[names[number % len(names)]]
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 2.0, 4.0]))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
-        self.world.run(seconds)
+        self.cluster.run(seconds)
 
     @rule(number=PICK, both=st.booleans(), outwards=st.booleans())
     def isolate(self, number: int, both: bool, outwards: bool) -> None:
         """Cut a replica off, silently, in one direction or both."""
         name = self.pick(number).name
-        entries = [entry.name for entry in self.world.entries]
-        for other in [*self.world.names, *entries]:
+        entries = [entry.name for entry in self.cluster.entries]
+        for other in [*self.cluster.names, *entries]:
             if both or outwards:
-                self.world.cuts.add((name, other))
+                self.cluster.cuts.add((name, other))
             if both or not outwards:
-                self.world.cuts.add((other, name))
+                self.cluster.cuts.add((other, name))
 
     @rule(number=PICK, other=PICK)
     def cut(self, number: int, other: int) -> None:
         """Cut one direction between two replicas."""
         pair = (self.pick(number).name, self.pick(other).name)
-        self.world.cuts.add(pair)
+        self.cluster.cuts.add(pair)
 
     @rule()
     def heal(self) -> None:
         """Make the network whole."""
-        self.world.cuts = set()
+        self.cluster.cuts = set()
 
     @rule(number=PICK, seconds=st.sampled_from([0.5, 1.5, 5.0]))
     def freeze(self, number: int, seconds: float) -> None:
         """Stop a process without a word; it does not notice."""
-        self.pick(number).frozen_until = self.world.now + seconds
+        self.pick(number).frozen_until = self.cluster.now + seconds
 
     @rule(number=PICK, operations=st.integers(1, 12))
     def cut_power(self, number: int, operations: int) -> None:
@@ -92,14 +92,14 @@
     @rule()
     def hand_over(self) -> None:
         """Let the leader give the lead away."""
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         if leader is not None and leader.node is not None:
-            leader.node.replica.hand_over(self.world.now)
+            leader.node.replica.transfer_leadership(self.cluster.now)
 
     @rule()
     def start_all(self) -> None:
         """Start what is down."""
-        for replica in self.world.replicas.values():
+        for replica in self.cluster.replicas.values():
             if not replica.up:
                 replica.start()
 
@@ -112,7 +112,7 @@
     @rule(number=PICK)
     def lose_disk(self, number: int) -> None:
         """Lose a disk; the replica returns with an empty one."""
-        if not self.world.run_until(self.whole, 4.0):
+        if not self.cluster.run_until(self.whole, 4.0):
             return
         replica = self.pick(number)
         self.lost = replica.name
@@ -126,18 +126,18 @@
 
         Once it votes, a second disk may be lost.
         """
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         if leader is not None and self.lost is not None:
             leader.replace(self.lost)
-            self.world.run_until(self.whole, 3.0)
+            self.cluster.run_until(self.whole, 3.0)
         if self.whole():
             self.lost = None
 
     @rule()
     def recover(self) -> None:
         """End all faults for a while."""
-        self.world.heal()
-        self.world.run_until(self.whole, 6.0)
+        self.cluster.heal()
+        self.cluster.run_until(self.whole, 6.0)
 
     @rule(seed=st.integers(0, 2**16), steps=st.sampled_from([10, 40]))
     def storm(self, seed: int, steps: int) -> None:
@@ -149,8 +149,8 @@
                 if random.random() < 0.3:
                     self.resend(random.randrange(1000))
                 self.operate(random.random() < 0.2)
-                self.world.run(random.choice([0.01, 0.05, 0.3]))
-            self.world.run(random.choice([0.0, 0.3, 1.0, 2.0]))
+                self.cluster.run(random.choice([0.01, 0.05, 0.3]))
+            self.cluster.run(random.choice([0.0, 0.3, 1.0, 2.0]))
 
     def act(self, random: Random) -> None:
         """Do one thing by chance."""
@@ -192,7 +192,7 @@
         """Make many changes, then restart a replica."""
         for _ in range(count):
             self.send(self.next_change(False))
-            self.world.run(0.02)
+            self.cluster.run(0.02)
         replica = self.pick(number)
         replica.kill()
         replica.start()
@@ -200,24 +200,24 @@
     @rule(number=st.integers(0, ENTRIES - 1))
     def restart_entry(self, number: int) -> None:
         """Restart an entry, perhaps against an isolated replica."""
-        self.world.entries[number].restart()
+        self.cluster.entries[number].restart()
 
     def teardown(self) -> None:
         """End all faults; one list explains all that anybody was told."""
-        if not hasattr(self, "world"):
+        if not hasattr(self, "cluster"):
             return
-        world = self.world
-        world.heal()
-        world.run(4.0)
+        cluster = self.cluster
+        cluster.heal()
+        cluster.run(4.0)
         for _ in range(20):
             self.repair()
             if self.lost is None and self.agreed():
                 break
-            world.run(1.0)
+            cluster.run(1.0)
         assert self.lost is None
         assert self.agreed()
-        final = world.oracle.replay()
-        for replica in world.replicas.values():
+        final = cluster.oracle.replay()
+        for replica in cluster.replicas.values():
             assert replica.node is not None
             tree = replica.node.machine.tree
             assert tree.snapshot() == final.tree.snapshot()
@@ -228,32 +228,35 @@
         One that only learns yet does not count: a disk lost before its
         vote is the second of three, which no group survives.
         """
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         if leader is None or leader.node is None:
             return False
         replica = leader.node.replica
-        if not replica.ready or replica.log.membership_index > replica.commit:
+        if (
+            not replica.is_ready
+            or replica.log.membership_index > replica.commit_index
+        ):
             return False
         voters = set(replica.membership.voters)
         present = {
             one.node.replica.identity
-            for one in self.world.replicas.values()
+            for one in self.cluster.replicas.values()
             if one.node is not None
         }
         return voters == present and len(voters) == self.size
 
     def agreed(self) -> bool:
         """Tell whether every replica has applied the whole list."""
-        last = max(self.world.oracle.entries, default=0)
+        last = max(self.cluster.oracle.entries, default=0)
         applied = {
             one.node.machine.applied if one.node is not None else -1
-            for one in self.world.replicas.values()
+            for one in self.cluster.replicas.values()
         }
         return applied == {last}
 
     def next_change(self, stale: bool) -> Change:
         """Build a change on the leader's revision or the one before."""
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         base = 0
         if leader is not None and leader.node is not None:
             revisions = leader.node.machine.tree.revisions
@@ -272,14 +275,16 @@
 
     def send(self, change: Change) -> None:
         """Send a change to some replica that believes to lead."""
-        believers = [one for one in self.world.replicas.values() if one.leads]
+        believers = [
+            one for one in self.cluster.replicas.values() if one.leads
+        ]
         if not believers:
             return
-        replica = self.world.random.choice(believers)
+        replica = self.cluster.random.choice(believers)
         if not replica.thaw():
             return
         try:
-            replica.propose(change, self.world.oracle.tell)
+            replica.propose(change, self.cluster.oracle.tell)
         except NotLeaderError:
             return
 
--- a/tests/test_quarantines.py
+++ b/tests/test_quarantines.py
@@ -2,8 +2,8 @@
 
 import msgspec
 from nutmegchute_core.commands import Command
-from nutmegchute_core.machines import Machine
 from nutmegchute_core.machines import MachineState
+from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.quarantines import Acquittal
 from nutmegchute_core.quarantines import Crash
@@ -209,7 +209,7 @@
 
 def test_verdict_survives_a_snapshot() -> None:
     """Keep a verdict through the loss of every process."""
-    machine = Machine()
+    machine = StateMachine()
     tokens = (0, 7, 8)
     index = 0
 
@@ -226,7 +226,7 @@
         outcome = apply(QuarantineBatch(0.1, QuarantineRequest(reports)))
         assert isinstance(outcome, Rulings)
     data = msgspec.msgpack.encode(machine.snapshot())
-    restored = Machine()
+    restored = StateMachine()
     restored.restore(msgspec.msgpack.decode(data, type=MachineState))
     assert restored.quarantine.count == 1
     assert restored.quarantine.evidence() == machine.quarantine.evidence()
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -9,7 +9,7 @@
 from nutmegchute_core.trees import ACCEPTED
 from nutmegchute_core.trees import Change
 from nutmegchute_fakes.replicas import FakeReplica
-from nutmegchute_fakes.replicas import World
+from nutmegchute_fakes.replicas import SimulatedCluster
 from support import rule
 from support import team
 
@@ -26,13 +26,13 @@
 class Operator:
     """Change one branch again and again, and know what was accepted."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
         self.accepted = 0
 
     def change(self) -> FakeReplica:
         """Have a change accepted; return the replica that said so."""
-        world = self._world
+        cluster = self._cluster
         base = self.accepted
         change = Change(
             change_id=f"change-{base}",
@@ -41,52 +41,52 @@
             documents={"lending": team(catalogo=[rule(deadline_ms=base + 1)])},
             at_unix_s=0.0,
         )
-        leader = world.leader()
+        leader = cluster.leader()
 
         def told() -> bool:
             nonlocal leader
-            if change.change_id not in world.oracle.told:
-                leader = world.leader()
-                world.change(change)
-            return change.change_id in world.oracle.told
+            if change.change_id not in cluster.oracle.told:
+                leader = cluster.leader()
+                cluster.change(change)
+            return change.change_id in cluster.oracle.told
 
-        assert world.run_until(told, 10.0)
-        assert world.oracle.told[change.change_id].outcome == ACCEPTED
+        assert cluster.run_until(told, 10.0)
+        assert cluster.oracle.told[change.change_id].outcome == ACCEPTED
         assert leader is not None
         self.accepted += 1
         return leader
 
 
-def ready(world: World) -> bool:
+def ready(cluster: SimulatedCluster) -> bool:
     """Tell whether a leader knows all that was committed."""
-    leader = world.leader()
+    leader = cluster.leader()
     if leader is None or leader.node is None:
         return False
-    return leader.node.replica.ready
+    return leader.node.replica.is_ready
 
 
 def lose_disks_and_power(
-    world: World, lost: list[FakeReplica], gone: list[FakeReplica]
+    cluster: SimulatedCluster, lost: list[FakeReplica], gone: list[FakeReplica]
 ) -> None:
     """Lose all power and some disks; all but those gone return."""
-    for replica in world.replicas.values():
+    for replica in cluster.replicas.values():
         replica.kill()
     for replica in lost:
         replica.disk.lose()
-    world.run(DOWN_S)
-    for replica in world.replicas.values():
+    cluster.run(DOWN_S)
+    for replica in cluster.replicas.values():
         if replica not in gone:
             replica.start()
 
 
-def check_recovered(world: World, accepted: int) -> None:
+def check_recovered(cluster: SimulatedCluster, accepted: int) -> None:
     """Find a leader soon that knows every accepted change."""
-    assert world.run_until(lambda: ready(world), RECOVERY_S), "none leads"
-    leader = world.leader()
+    assert cluster.run_until(lambda: ready(cluster), RECOVERY_S), "none leads"
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     assert leader.node.machine.tree.revisions == {"lending": accepted}
-    world.oracle.replay()
+    cluster.oracle.replay()
 
 
 @pytest.mark.parametrize("after_s", [0.5, 4.0, 8.0, 13.0])
@@ -109,18 +109,18 @@
          4.98 NC2019 voters 4, majority 3 (core-lahore-2 taken in)
         44.32 NC2020 granted core-faisalabad-2, core-gujranwala-1
     """
-    world = World(3, entries=0, seed=seed, tended=True)
-    assert world.run_until(lambda: ready(world), 5.0)
-    operator = Operator(world)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    operator = Operator(cluster)
     operator.change()
-    world.add(world.names)
-    world.run(CATCH_UP_S)
-    gone = world.replicas[world.names[seed % 3]]
+    cluster.add(cluster.names)
+    cluster.run(CATCH_UP_S)
+    gone = cluster.replicas[cluster.names[seed % 3]]
     gone.stop()
-    world.run(after_s)
+    cluster.run(after_s)
     lost = operator.change()
-    lose_disks_and_power(world, [lost], [gone])
-    check_recovered(world, operator.accepted)
+    lose_disks_and_power(cluster, [lost], [gone])
+    check_recovered(cluster, operator.accepted)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -135,27 +135,27 @@
         23.43 NC2001 term 3 (core-faisalabad-2, after a loss of power)
         33.64 NC2004 replica "core-faisalabad-1" (core-lahore-1)
     """
-    world = World(3, entries=0, seed=seed, tended=True)
-    assert world.run_until(lambda: ready(world), 5.0)
-    operator = Operator(world)
-    world.add(world.names)
-    world.run(CATCH_UP_S)
-    gone = world.replicas[world.names[seed % 3]]
+    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    operator = Operator(cluster)
+    cluster.add(cluster.names)
+    cluster.run(CATCH_UP_S)
+    gone = cluster.replicas[cluster.names[seed % 3]]
     gone.stop()
-    world.run(12.0)
+    cluster.run(12.0)
     leader = operator.change()
     leader.kill()
-    world.run(DOWN_S)
+    cluster.run(DOWN_S)
     leader.start()
-    world.run(9.0)
+    cluster.run(9.0)
     lost = operator.change()
-    lose_disks_and_power(world, [lost], [gone])
-    check_recovered(world, operator.accepted)
+    lose_disks_and_power(cluster, [lost], [gone])
+    check_recovered(cluster, operator.accepted)
 
 
-def members(world: World) -> set[str]:
+def members(cluster: SimulatedCluster) -> set[str]:
     """Name the members that the leader knows."""
-    leader = world.leader()
+    leader = cluster.leader()
     if leader is None or leader.node is None:
         return set()
     return {one.name for one in leader.node.replica.membership.members}
@@ -169,14 +169,16 @@
     in, never hears of it; the replica that it replaces is lost without a
     successor.
     """
-    world = World(3, entries=0, seed=seed, tended=True)
-    assert world.run_until(lambda: ready(world), 5.0)
-    leader = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    leader = cluster.leader()
     follower = next(
-        one for one in world.replicas.values() if one is not leader
+        one for one in cluster.replicas.values() if one is not leader
+    )
+    newcomer = cluster.add([follower.name])
+    assert cluster.run_until(
+        lambda: newcomer.name in members(cluster), CATCH_UP_S
     )
-    newcomer = world.add([follower.name])
-    assert world.run_until(lambda: newcomer.name in members(world), CATCH_UP_S)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -187,15 +189,15 @@
     nobody sends, and counts for nobody. A lost disk later finds the group
     one replica short.
     """
-    world = World(3, entries=0, seed=seed, tended=True)
-    assert world.run_until(lambda: ready(world), 5.0)
-    world.add(world.names)
-    world.run(CATCH_UP_S)
-    away = world.replicas[world.names[seed % 3]]
+    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    cluster.add(cluster.names)
+    cluster.run(CATCH_UP_S)
+    away = cluster.replicas[cluster.names[seed % 3]]
     away.kill()
-    assert world.run_until(lambda: away.name not in members(world), 20.0)
+    assert cluster.run_until(lambda: away.name not in members(cluster), 20.0)
     away.start()
-    assert world.run_until(lambda: away.name in members(world), CATCH_UP_S)
+    assert cluster.run_until(lambda: away.name in members(cluster), CATCH_UP_S)
 
 
 def test_order_to_take_over_gets_lost() -> None:
@@ -205,23 +207,23 @@
     silence, and then counted the silence of a replica that had said that
     it goes: a disk lost in these three seconds left no majority for ever.
     """
-    world = World(3, entries=0, seed=1, tended=True)
-    world.loss = 0.0
-    assert world.run_until(lambda: ready(world), 5.0)
-    operator = Operator(world)
-    world.add(world.names)
-    world.run(CATCH_UP_S)
-    gone = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=1, tended=True)
+    cluster.loss = 0.0
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    operator = Operator(cluster)
+    cluster.add(cluster.names)
+    cluster.run(CATCH_UP_S)
+    gone = cluster.leader()
     assert gone is not None
-    cuts = {(gone.name, other) for other in world.replicas}
-    world.cuts = set(cuts)
+    cuts = {(gone.name, other) for other in cluster.replicas}
+    cluster.cuts = set(cuts)
     gone.stop()
-    world.run(0.1)
-    world.cuts = set()
-    world.run(1.5)
+    cluster.run(0.1)
+    cluster.cuts = set()
+    cluster.run(1.5)
     lost = operator.change()
-    lose_disks_and_power(world, [lost], [gone])
-    check_recovered(world, operator.accepted)
+    lose_disks_and_power(cluster, [lost], [gone])
+    check_recovered(cluster, operator.accepted)
 
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 8, 12])
@@ -233,15 +235,15 @@
     the group and of nobody in it, it would wait for ever, and the next
     loss would stop all changes.
     """
-    world = World(3, entries=0, seed=seed, tended=True)
-    assert world.run_until(lambda: ready(world), 5.0)
-    last = world.replicas[world.names[1]]
-    for name in (world.names[0], world.names[2]):
-        world.add(world.names)
-        world.run(CATCH_UP_S)
-        world.replicas[name].stop()
-        world.run(CATCH_UP_S)
-    leader = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    last = cluster.replicas[cluster.names[1]]
+    for name in (cluster.names[0], cluster.names[2]):
+        cluster.add(cluster.names)
+        cluster.run(CATCH_UP_S)
+        cluster.replicas[name].stop()
+        cluster.run(CATCH_UP_S)
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     assert last.node is not None
@@ -249,23 +251,23 @@
         lead = leader.node.replica
         own = last.node.replica.identity
         last.receive(HandOver(lead.identity, own, lead.term))
-        world.run(1.0)
-    assert world.leader() is last
+        cluster.run(1.0)
+    assert cluster.leader() is last
     lost = last.node.replica.identity
     last.kill()
     last.disk.lose()
-    world.run(VM_BACK_S)
+    cluster.run(VM_BACK_S)
     last.start()
 
     def votes() -> bool:
-        leader = world.leader()
+        leader = cluster.leader()
         if leader is None or leader.node is None:
             return False
         membership = leader.node.replica.membership
         member = membership.named(last.name)
         return member is not None and member.voter and member.identity != lost
 
-    assert world.run_until(votes, CATCH_UP_S)
+    assert cluster.run_until(votes, CATCH_UP_S)
 
 
 class Series:
@@ -273,14 +275,16 @@
 
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
-        self.world = World(size, entries=0, seed=seed, tended=True)
-        self.operator = Operator(self.world)
+        self.cluster = SimulatedCluster(
+            size, entries=0, seed=seed, tended=True
+        )
+        self.operator = Operator(self.cluster)
         self.gone: list[FakeReplica] = []
         self._borne = size // 2
 
     def run(self, steps: int) -> None:
         """Do things by chance; whoever returned is given time."""
-        assert self.world.run_until(lambda: ready(self.world), 5.0)
+        assert self.cluster.run_until(lambda: ready(self.cluster), 5.0)
         actions: list[Callable[[], None]] = [
             self.replace_planned,
             self.replace_lost,
@@ -294,13 +298,13 @@
         ]
         for _ in range(steps):
             self.random.choice(actions)()
-            self.world.run(CATCH_UP_S)
+            self.cluster.run(CATCH_UP_S)
             self.operator.change()
 
     def there(self) -> list[FakeReplica]:
         """List the replicas that are not gone for good."""
         found = []
-        for replica in self.world.replicas.values():
+        for replica in self.cluster.replicas.values():
             if replica not in self.gone:
                 found.append(replica)
         return found
@@ -313,14 +317,14 @@
     def add(self) -> None:
         """Start a vm with an empty disk that is told some members."""
         names = [one.name for one in self.there()]
-        self.world.add(self.random.sample(names, min(3, len(names))))
+        self.cluster.add(self.random.sample(names, min(3, len(names))))
 
     def replace_planned(self) -> None:
         """Start other vms first, then stop those that they replace."""
         victims = self.victims()
         for _ in victims:
             self.add()
-        self.world.run(CATCH_UP_S)
+        self.cluster.run(CATCH_UP_S)
         for replica in victims:
             replica.stop()
         self.gone += victims
@@ -331,7 +335,7 @@
         for replica in victims:
             replica.kill()
         self.gone += victims
-        self.world.run(self.random.choice([1.0, 2.0, 8.0]))
+        self.cluster.run(self.random.choice([1.0, 2.0, 8.0]))
         for _ in victims:
             self.add()
 
@@ -341,7 +345,7 @@
         for replica in victims:
             replica.kill()
             replica.disk.lose()
-        self.world.run(self.random.choice([0.5, 3.0, 8.0]))
+        self.cluster.run(self.random.choice([0.5, 3.0, 8.0]))
         for replica in victims:
             replica.start()
 
@@ -354,7 +358,7 @@
                 replica.stop()
             else:
                 replica.kill()
-        self.world.run(self.random.choice([1.5, 4.0, 9.0]))
+        self.cluster.run(self.random.choice([1.5, 4.0, 9.0]))
         for replica in victims:
             if replica.up:
                 replica.kill()
@@ -364,7 +368,7 @@
         """Stop and start all in turn, without time between."""
         for replica in self.there():
             replica.stop()
-            self.world.run(1.5)
+            self.cluster.run(1.5)
             if replica.up:
                 replica.kill()
             replica.start()
@@ -372,27 +376,27 @@
     def freeze(self) -> None:
         """Let replicas stand still and wake again."""
         for replica in self.victims():
-            replica.frozen_until = self.world.now + 6.0
-        self.world.run(6.0)
+            replica.frozen_until = self.cluster.now + 6.0
+        self.cluster.run(6.0)
 
     def isolate(self) -> None:
         """Cut replicas off from all others and join them again."""
         self.cut(self.victims())
-        self.world.run(self.random.choice([2.0, 9.0]))
-        self.world.cuts = set()
+        self.cluster.run(self.random.choice([2.0, 9.0]))
+        self.cluster.cuts = set()
 
     def leave_behind(self) -> None:
         """Lose a disk where changes are known, and join who missed them."""
         behind = self.victims()
         self.cut(behind)
-        self.world.run(self.random.choice([2.0, 6.0]))
+        self.cluster.run(self.random.choice([2.0, 6.0]))
         self.operator.change()
         others = [one for one in self.there() if one not in behind]
         for replica in others:
             replica.kill()
         others[0].disk.lose()
-        self.world.cuts = set()
-        self.world.run(self.random.choice([0.5, 3.0]))
+        self.cluster.cuts = set()
+        self.cluster.run(self.random.choice([0.5, 3.0]))
         for replica in others:
             replica.start()
 
@@ -400,12 +404,12 @@
         """Restart replicas that are cut off, and later all others."""
         behind = self.victims()
         self.cut(behind)
-        self.world.run(self.random.choice([2.0, 7.0]))
+        self.cluster.run(self.random.choice([2.0, 7.0]))
         for replica in behind:
             replica.kill()
             replica.start()
-        self.world.run(2.0)
-        self.world.cuts = set()
+        self.cluster.run(2.0)
+        self.cluster.cuts = set()
         for replica in self.there():
             if replica not in behind:
                 replica.kill()
@@ -414,9 +418,9 @@
     def cut(self, replicas: list[FakeReplica]) -> None:
         """Cut replicas off from all others, and from one another."""
         for replica in replicas:
-            for other in self.world.replicas:
-                self.world.cuts.add((replica.name, other))
-                self.world.cuts.add((other, replica.name))
+            for other in self.cluster.replicas:
+                self.cluster.cuts.add((replica.name, other))
+                self.cluster.cuts.add((other, replica.name))
 
 
 @pytest.mark.parametrize("size", [3, 5])
@@ -432,5 +436,5 @@
     series = Series(size, seed)
     series.run(8)
     lost = series.victims()
-    lose_disks_and_power(series.world, lost, series.gone)
-    check_recovered(series.world, series.operator.accepted)
+    lose_disks_and_power(series.cluster, lost, series.gone)
+    check_recovered(series.cluster, series.operator.accepted)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -20,13 +20,13 @@
 from nutmegchute_core.messages import VoteReply
 from nutmegchute_core.messages import VoteRequest
 from nutmegchute_core.nodes import Node
-from nutmegchute_core.nodes import Stored
+from nutmegchute_core.nodes import StoredState
 from nutmegchute_core.replicas import LEADER
 from nutmegchute_core.replicas import Replica
 from nutmegchute_core.trees import ACCEPTED
 from nutmegchute_core.trees import Change
 from nutmegchute_fakes.replicas import FakeEntry
-from nutmegchute_fakes.replicas import World
+from nutmegchute_fakes.replicas import SimulatedCluster
 from support import rule
 from support import team
 
@@ -39,37 +39,37 @@
     )
 
 
-def settle(world: World, most: float = 20.0) -> None:
+def settle(cluster: SimulatedCluster, most: float = 20.0) -> None:
     """Wait until a leader has committed in its own term."""
-    assert world.run_until(lambda: _ready(world), most)
+    assert cluster.run_until(lambda: _ready(cluster), most)
 
 
-def _ready(world: World) -> bool:
-    leader = world.leader()
+def _ready(cluster: SimulatedCluster) -> bool:
+    leader = cluster.leader()
     if leader is None or leader.node is None:
         return False
-    return leader.node.replica.ready
+    return leader.node.replica.is_ready
 
 
-def accept(world: World, change_id: str, base: int) -> None:
+def accept(cluster: SimulatedCluster, change_id: str, base: int) -> None:
     """Send a change until it is accepted."""
 
     def told() -> bool:
-        if change_id not in world.oracle.told:
-            world.change(change(change_id, base))
-        return change_id in world.oracle.told
+        if change_id not in cluster.oracle.told:
+            cluster.change(change(change_id, base))
+        return change_id in cluster.oracle.told
 
-    assert world.run_until(told, 20.0)
-    assert world.oracle.told[change_id].outcome == ACCEPTED
+    assert cluster.run_until(told, 20.0)
+    assert cluster.oracle.told[change_id].outcome == ACCEPTED
 
 
 @pytest.mark.parametrize("size", [1, 3, 5])
 def test_group_forms_and_accepts(size: int) -> None:
     """Replicas with empty disks form one group and accept a change."""
-    world = World(size, entries=2, seed=size)
-    settle(world)
-    accept(world, "a", 0)
-    assert world.run_until(lambda: world.in_force_index > 0, 5.0)
+    cluster = SimulatedCluster(size, entries=2, seed=size)
+    settle(cluster)
+    accept(cluster, "a", 0)
+    assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -80,14 +80,14 @@
     every call until one leads; waiting as if for a lost leader kept them
     without a configuration for a third of a second longer.
     """
-    world = World(3, entries=0, seed=seed)
-    settle(world)
-    for replica in world.replicas.values():
+    cluster = SimulatedCluster(3, entries=0, seed=seed)
+    settle(cluster)
+    for replica in cluster.replicas.values():
         replica.kill()
-    world.run(1.0)
-    for replica in world.replicas.values():
+    cluster.run(1.0)
+    for replica in cluster.replicas.values():
         replica.start()
-    settle(world, 0.25)
+    settle(cluster, 0.25)
 
 
 def test_cut_leader_gives_up_and_the_rest_goes_on() -> None:
@@ -96,17 +96,17 @@
     The operator sees the change accepted by the new leader: the old one
     is cut off, steps down without a quorum, and the others elect.
     """
-    world = World(3, entries=2, seed=1)
-    settle(world)
-    old = world.leader()
+    cluster = SimulatedCluster(3, entries=2, seed=1)
+    settle(cluster)
+    old = cluster.leader()
     assert old is not None
-    for other in [*world.names, "entry-0", "entry-1"]:
-        world.cuts |= {(old.name, other), (other, old.name)}
-    world.run(3.0)
+    for other in [*cluster.names, "entry-0", "entry-1"]:
+        cluster.cuts |= {(old.name, other), (other, old.name)}
+    cluster.run(3.0)
     assert not old.leads
-    accept(world, "a", 0)
-    world.cuts = set()
-    world.run(3.0)
+    accept(cluster, "a", 0)
+    cluster.cuts = set()
+    cluster.run(3.0)
     assert old.node is not None
     assert old.node.machine.tree.revisions == {"lending": 1}
 
@@ -117,20 +117,20 @@
     Without the question its higher term would end the reign of a leader
     that all others hear, and every operator would wait for an election.
     """
-    world = World(3, entries=0, seed=2)
-    world.loss = 0.0
-    settle(world)
-    leader = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=2)
+    cluster.loss = 0.0
+    settle(cluster)
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     term = leader.node.replica.term
-    away = next(one for one in world.names if one != leader.name)
-    for other in world.names:
-        world.cuts |= {(away, other), (other, away)}
-    world.run(10.0)
-    world.cuts = set()
-    world.run(5.0)
-    assert world.leader() is leader
+    away = next(one for one in cluster.names if one != leader.name)
+    for other in cluster.names:
+        cluster.cuts |= {(away, other), (other, away)}
+    cluster.run(10.0)
+    cluster.cuts = set()
+    cluster.run(5.0)
+    assert cluster.leader() is leader
     assert leader.node.replica.term == term
 
 
@@ -139,17 +139,17 @@
 
     The others hear the leader all the while and give it no vote.
     """
-    world = World(3, entries=0, seed=3)
-    world.loss = 0.0
-    settle(world)
-    leader = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=3)
+    cluster.loss = 0.0
+    settle(cluster)
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     term = leader.node.replica.term
-    deaf = next(one for one in world.names if one != leader.name)
-    world.cuts = {(leader.name, deaf)}
-    world.run(10.0)
-    assert world.leader() is leader
+    deaf = next(one for one in cluster.names if one != leader.name)
+    cluster.cuts = {(leader.name, deaf)}
+    cluster.run(10.0)
+    assert cluster.leader() is leader
     assert leader.node.replica.term == term
 
 
@@ -159,15 +159,15 @@
     The follower that has come furthest stands at once, and the others
     vote for it although they heard the old leader a moment ago.
     """
-    world = World(3, entries=0, seed=7)
-    world.loss = 0.0
-    settle(world)
-    old = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=7)
+    cluster.loss = 0.0
+    settle(cluster)
+    old = cluster.leader()
     assert old is not None
     assert old.node is not None
-    old.node.replica.hand_over(world.now)
-    world.run(0.3)
-    new = world.leader()
+    old.node.replica.transfer_leadership(cluster.now)
+    cluster.run(0.3)
+    new = cluster.leader()
     assert new is not None
     assert new is not old
     assert not old.leads
@@ -175,21 +175,21 @@
 
 def test_late_hand_over_deposes_nobody() -> None:
     """The order to take over arrives a term too late and is ignored."""
-    world = World(3, entries=0, seed=8)
-    world.loss = 0.0
-    settle(world)
-    leader = world.leader()
+    cluster = SimulatedCluster(3, entries=0, seed=8)
+    cluster.loss = 0.0
+    settle(cluster)
+    leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     term = leader.node.replica.term
-    for name in world.names:
-        replica = world.replicas[name]
+    for name in cluster.names:
+        replica = cluster.replicas[name]
         assert replica.node is not None
         target = replica.node.replica.identity
         late = HandOver(leader.node.replica.identity, target, term - 1)
         replica.receive(late)
-    world.run(2.0)
-    assert world.leader() is leader
+    cluster.run(2.0)
+    assert cluster.leader() is leader
     assert leader.node.replica.term == term
 
 
@@ -199,19 +199,19 @@
     It believes to lead until it hears otherwise. A restarted entry that
     took its answer would act on a tree older than the one in force.
     """
-    world = World(3, entries=1, seed=4)
-    settle(world)
-    accept(world, "a", 0)
-    assert world.run_until(lambda: world.entries[0].index > 0, 5.0)
-    old = world.leader()
+    cluster = SimulatedCluster(3, entries=1, seed=4)
+    settle(cluster)
+    accept(cluster, "a", 0)
+    assert cluster.run_until(lambda: cluster.entries[0].index > 0, 5.0)
+    old = cluster.leader()
     assert old is not None
-    old.frozen_until = world.now + 60.0
-    world.run(4.0)
-    accept(world, "b", 1)
+    old.frozen_until = cluster.now + 60.0
+    cluster.run(4.0)
+    accept(cluster, "b", 1)
     answers: list[FollowReply] = []
-    old.frozen_until = world.now
+    old.frozen_until = cluster.now
     old.ask(FollowRequest("entry-0", 0), answers.append)
-    world.run(5.0)
+    cluster.run(5.0)
     assert [one.current for one in answers] == [False]
 
 
@@ -224,27 +224,28 @@
     "In force" may not be said before the lease has ended, also not by a
     new leader, which has never heard of that entry but through the log.
     """
-    world = World(3, entries=2, seed=5)
-    settle(world)
-    accept(world, "a", 0)
-    assert world.run_until(lambda: world.in_force_index > 0, 5.0)
-    silent = world.entries[0]
-    assert world.run_until(
-        lambda: silent.standing.has_lease(world.now) and silent.index > 0, 5.0
+    cluster = SimulatedCluster(3, entries=2, seed=5)
+    settle(cluster)
+    accept(cluster, "a", 0)
+    assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
+    silent = cluster.entries[0]
+    assert cluster.run_until(
+        lambda: silent.standing.has_lease(cluster.now) and silent.index > 0,
+        5.0,
     )
-    for name in world.names:
-        world.cuts |= {(silent.name, name), (name, silent.name)}
+    for name in cluster.names:
+        cluster.cuts |= {(silent.name, name), (name, silent.name)}
     if leader_dies:
-        old = world.leader()
+        old = cluster.leader()
         assert old is not None
         old.kill()
-        settle(world)
-    before = world.in_force_index
-    accept(world, "b", 1)
-    assert silent.standing.has_lease(world.now)
-    assert world.in_force_index == before
-    assert world.run_until(lambda: world.in_force_index > before, 12.0)
-    assert not silent.standing.has_lease(world.now)
+        settle(cluster)
+    before = cluster.in_force_index
+    accept(cluster, "b", 1)
+    assert silent.standing.has_lease(cluster.now)
+    assert cluster.in_force_index == before
+    assert cluster.run_until(lambda: cluster.in_force_index > before, 12.0)
+    assert not silent.standing.has_lease(cluster.now)
 
 
 def test_new_entry_is_known_before_its_first_tree() -> None:
@@ -253,21 +254,21 @@
     Given a tree and a lease there, it would act on them while a leader
     that has never heard of it says that a newer tree is in force.
     """
-    world = World(3, entries=1, seed=6)
-    settle(world)
-    accept(world, "a", 0)
-    old = world.leader()
+    cluster = SimulatedCluster(3, entries=1, seed=6)
+    settle(cluster)
+    accept(cluster, "a", 0)
+    old = cluster.leader()
     assert old is not None
-    for name in world.names:
+    for name in cluster.names:
         if name == old.name:
             continue
-        world.cuts |= {(old.name, name), (name, old.name)}
-        world.cuts |= {("entry-new", name), (name, "entry-new")}
-    world.entries.append(FakeEntry(world, "entry-new", 2))
-    world.run(4.0)
-    accept(world, "b", 1)
-    assert world.run_until(lambda: world.in_force_index > 0, 15.0)
-    assert world.entries[-1].index == 0
+        cluster.cuts |= {(old.name, name), (name, old.name)}
+        cluster.cuts |= {("entry-new", name), (name, "entry-new")}
+    cluster.entries.append(FakeEntry(cluster, "entry-new", 2))
+    cluster.run(4.0)
+    accept(cluster, "b", 1)
+    assert cluster.run_until(lambda: cluster.in_force_index > 0, 15.0)
+    assert cluster.entries[-1].index == 0
 
 
 MEMBERS = Membership([Member(name, name) for name in ("r1", "r2", "r3")])
@@ -280,7 +281,7 @@
     replica.tick(5.0)
     replica.receive(VoteReply("r2", "r1", 4, True, True), 5.0)
     replica.receive(VoteReply("r2", "r1", 4, True, False), 5.0)
-    replica.drain()
+    replica.take_effects()
     assert replica.state == LEADER
     return replica
 
@@ -299,9 +300,9 @@
     """
     replica = elect([LogEntry(2, 1, NoOp())])
     match(replica, 1)
-    assert replica.commit == 0
+    assert replica.commit_index == 0
     match(replica, 2)
-    assert replica.commit == 2
+    assert replica.commit_index == 2
 
 
 class NoStore:
@@ -327,7 +328,9 @@
     answer now would give a restarted entry the older tree.
     """
     entries = [LogEntry(1, 1, Enroll("e")), LogEntry(2, 2, change("a", 0))]
-    stored = Stored(HardState(3, None), Snapshot(membership=MEMBERS), entries)
+    stored = StoredState(
+        HardState(3, None), Snapshot(membership=MEMBERS), entries
+    )
     node = Node("r1", stored, NoStore(), 0.0, 1)
     replica = node.replica
     replica.tick(5.0)
@@ -342,7 +345,7 @@
     node.flush()
     replica.receive(AppendReply("r2", "r1", 4, 9, False, 0), 5.5)
     node.flush()
-    assert replica.confirmed >= 2
+    assert replica.confirmed_round >= 2
     assert followings.advance(node, 5.5) == {}
     match(replica, 3)
     node.flush()
@@ -355,9 +358,9 @@
     log = Log(Snapshot(membership=MEMBERS), [])
     replica = Replica("r1", HardState(), log, 0.0, 1)
     replica.receive(VoteRequest("r2", "r1.lost", 1, 0, 0, False), 9.0)
-    assert replica.drain().messages == []
+    assert replica.take_effects().messages == []
     replica.receive(VoteRequest("r2", "r1", 1, 0, 0, False), 9.0)
-    assert len(replica.drain().messages) == 1
+    assert len(replica.take_effects().messages) == 1
 
 
 def test_one_voter_changes_at_a_time() -> None:
@@ -400,7 +403,7 @@
             ),
             1.0,
         )
-    snapshot = replica.drain().snapshot
+    snapshot = replica.take_effects().snapshot
     assert snapshot is not None
     assert snapshot.state == state
-    assert replica.commit == 7
+    assert replica.commit_index == 7
