--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -15,7 +15,7 @@
 from .calls import Refuse
 from .calls import Result
 from .calls import Send
-from .evacuations import EvacuationNews
+from .evacuations import EvacuationUpdate
 from .inquiries import Inquiry
 from .inquiries import QUERY_TIMEOUT_S
 from .inquiries import REQUERY_S
@@ -28,7 +28,7 @@
 from .pools import Pool
 from .quarantines import FREE
 from .quarantines import QUARANTINED
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 from .quarantines import Report
 from .quarantines import Ruling
 from .quarantines import TrialRequest
@@ -90,7 +90,7 @@
         return self._isolation.index
 
     @property
-    def evacuations(self) -> EvacuationNews:
+    def evacuations(self) -> EvacuationUpdate:
         """Give the evacuated availability zones, as known here."""
         return self._pools.evacuations
 
@@ -108,7 +108,7 @@
         self._pools.configure(services, now)
 
     def apply_evacuations(
-        self, news: EvacuationNews, now: float
+        self, news: EvacuationUpdate, now: float
     ) -> list[Action]:
         """Take the evacuated availability zones, as control tells."""
         if not self._pools.evacuate(news, now):
@@ -219,7 +219,7 @@
         return actions
 
     def apply_quarantine(
-        self, news: QuarantineNews, now: float
+        self, news: QuarantineUpdate, now: float
     ) -> list[Action]:
         """Take the requests that may crash endpoints, as control tells."""
         actions: list[Action] = []
--- a/packages/core/nutmegchute_core/directories.py
+++ b/packages/core/nutmegchute_core/directories.py
@@ -47,7 +47,7 @@
             self._counts[zone] *= share
 
 
-def beside_endpoints(
+def exclude_evacuated(
     words: list[EntryInfo], evacuated: Collection[str]
 ) -> list[EntryInfo]:
     """Leave out the entries of evacuated zones, if others are there.
@@ -70,7 +70,7 @@
         self._demand = Demand()
         self._credits: dict[str | None, dict[str, float]] = {}
 
-    def hear(
+    def update(
         self, word: EntryInfo, demand: dict[str, float], dated_at: float
     ) -> None:
         """Take an entry's word about itself, true at ``dated_at``."""
@@ -83,7 +83,7 @@
             return
         self._heard[word.name] = (word, demand, dated_at)
 
-    def lose(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Forget an entry that did not answer, until it is heard again."""
         self._heard.pop(name, None)
 
@@ -116,7 +116,7 @@
             words.append(word)
         return sorted(words, key=lambda word: word.name)
 
-    def answer(
+    def choose(
         self,
         availability_zone: str | None,
         most: int,
@@ -128,7 +128,7 @@
         The caller's zone comes first as far as its entries' fair share of
         all callers goes; the rest spills over to zones with room.
         """
-        words = beside_endpoints(self.usable(now), evacuated)
+        words = exclude_evacuated(self.usable(now), evacuated)
         zones = {word.availability_zone for word in words}
         zone = availability_zone if availability_zone in zones else None
         if zone is not None:
--- a/packages/core/nutmegchute_core/evacuations.py
+++ b/packages/core/nutmegchute_core/evacuations.py
@@ -46,7 +46,7 @@
     at_unix_s: float
 
 
-class EvacuationNews(msgspec.Struct, frozen=True, array_like=True):
+class EvacuationUpdate(msgspec.Struct, frozen=True, array_like=True):
     """List all evacuated availability zones as of a log index."""
 
     index: int
@@ -98,11 +98,11 @@
             del self._by_zone[zone]
         return EvacuationOutcome(True)
 
-    def since(self, index: int) -> EvacuationNews | None:
+    def since(self, index: int) -> EvacuationUpdate | None:
         """List what is evacuated, if that changed since a log index."""
         if self._index <= index:
             return None
-        return EvacuationNews(self._index, self.zones)
+        return EvacuationUpdate(self._index, self.zones)
 
     def snapshot(self) -> EvacuationState:
         """Give the list in the form that snapshots keep."""
--- a/packages/core/nutmegchute_core/fleets.py
+++ b/packages/core/nutmegchute_core/fleets.py
@@ -4,19 +4,19 @@
 
 import msgspec
 
-from .evacuations import EvacuationNews
+from .evacuations import EvacuationUpdate
 from .patches import Step
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 
 # How long an entry acts on a tree after it last asked a leader. It outlasts
 # one lost question (hold, time-out, retry) and leaves room for a failover
 # within the 12 s in which a change must be in force.
-FLEET_LEASE_S = 9.5
+TREE_LEASE_S = 9.5
 # How long the leader holds a question when nothing is newer.
 HOLD_S = 4.0
 HOLD_MARGIN_S = 0.5
 # The leader counts a little longer than the entry: clocks drift.
-FLEET_WAIT_S = FLEET_LEASE_S * 1.05
+TREE_LEASE_WAIT_S = TREE_LEASE_S * 1.05
 
 
 class FollowRequest(msgspec.Struct, frozen=True):
@@ -54,8 +54,8 @@
     revisions: dict[str, int] = {}
     documents: dict[str, Any] | None = None
     steps: list[Step] | None = None
-    quarantine: QuarantineNews | None = None
-    evacuations: EvacuationNews | None = None
+    quarantine: QuarantineUpdate | None = None
+    evacuations: EvacuationUpdate | None = None
 
 
 class Enroll(msgspec.Struct, frozen=True, tag=True):
@@ -85,7 +85,7 @@
         self._applied: dict[str, int] = {}
         self._heard: dict[str, float] = {}
 
-    def hear(self, request: FollowRequest, now: float) -> None:
+    def record(self, request: FollowRequest, now: float) -> None:
         """Take an entry's word about the index it has in force."""
         known = self._applied.get(request.entry, 0)
         self._applied[request.entry] = max(known, request.index)
@@ -101,11 +101,11 @@
         for entry in enrolled:
             if self._applied.get(entry, 0) >= index:
                 continue
-            if now - self._heard.get(entry, self._began) <= FLEET_WAIT_S:
+            if now - self._heard.get(entry, self._began) <= TREE_LEASE_WAIT_S:
                 return False
         return True
 
-    def silent(self, entry: str, now: float) -> float:
+    def silence_s(self, entry: str, now: float) -> float:
         """Tell for how many seconds an entry has not asked."""
         return now - self._heard.get(entry, self._began)
 
@@ -123,7 +123,7 @@
     reply: FollowReply | None
 
 
-class Standing:
+class TreeLease:
     """Decide, on an entry, whether it may act on the tree it has.
 
     With a lease it may. Without one, somewhere a newer tree may be in
@@ -141,10 +141,10 @@
 
     def renew(self, asked_at: float) -> None:
         """Hold a lease, counted from before the question was sent."""
-        until = asked_at + FLEET_LEASE_S
+        until = asked_at + TREE_LEASE_S
         self._lease_until = max(self._lease_until, until)
 
-    def reach(self, entry: str, now: float) -> None:
+    def record_leaderless(self, entry: str, now: float) -> None:
         """Remember that another entry answered and found no leader."""
         self._reached[entry] = now
 
@@ -166,6 +166,6 @@
             return True
         together = 1
         for reached_at in self._reached.values():
-            if now - reached_at <= FLEET_LEASE_S:
+            if now - reached_at <= TREE_LEASE_S:
                 together += 1
         return 2 * together > self._others + 1
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -7,7 +7,7 @@
 from .calls import Result
 from .quarantines import FREE
 from .quarantines import Key
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 from .quarantines import Report
 from .quarantines import Ruling
 from .quarantines import TrialEnd
@@ -82,7 +82,7 @@
         self._trials.ask(call, token)
         self._suspects.add(TrialRequest(*key, token, left_s))
 
-    def take_news(self, news: QuarantineNews, now: float) -> list[Release]:
+    def take_news(self, news: QuarantineUpdate, now: float) -> list[Release]:
         """Take the requests that may crash endpoints, as control tells."""
         releases: list[Release] = []
         if not self._suspects.take(news, now):
--- a/packages/core/nutmegchute_core/ledgers.py
+++ b/packages/core/nutmegchute_core/ledgers.py
@@ -20,8 +20,8 @@
 from .claims import Settlement
 
 # A key is kept KEPT_S at least, and as much longer as there is room.
-KEPT_S = 900.0
-MOST_KEPT_S = 86_400.0
+MIN_KEPT_S = 900.0
+MAX_KEPT_S = 86_400.0
 MAX_RECORDS = 200_000
 
 _FIRST = ClaimAnswer(FIRST)
@@ -84,7 +84,7 @@
     def _expire(self) -> None:
         while self._records:
             digest, record = next(iter(self._records.items()))
-            if self._time_s - record.claimed_at <= MOST_KEPT_S:
+            if self._time_s - record.claimed_at <= MAX_KEPT_S:
                 return
             del self._records[digest]
 
@@ -92,7 +92,7 @@
         if len(self._records) < self._most:
             return True
         digest, record = next(iter(self._records.items()))
-        if self._time_s - record.claimed_at <= KEPT_S:
+        if self._time_s - record.claimed_at <= MIN_KEPT_S:
             return False
         del self._records[digest]
         return True
--- a/packages/core/nutmegchute_core/followings.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -9,7 +9,7 @@
 from .fleets import HOLD_S
 from .fleets import Withdraw
 from .nodes import Node
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 from .replicas import LEADER
 
 # An entry silent for so long is gone; it enrolls anew should it return.
@@ -33,7 +33,7 @@
         self.hold_until = hold_until
 
 
-class Followings:
+class LongPolls:
     """Take questions by ticket; advance gives the answers that are due."""
 
     __slots__ = ("_fleet", "_open", "_term")
@@ -48,18 +48,18 @@
         """Give what this leader knows of the entries."""
         return self._fleet
 
-    def ask(
+    def enqueue(
         self, ticket: int, request: FollowRequest, node: Node, now: float
     ) -> FollowReply | None:
         """Take a question; an answer at once says that none leads here."""
         self._observe(node, now)
         if self._term is None:
-            return turn_away(node)
+            return redirect(node)
         if request.leaving:
             node.propose(Withdraw(request.entry))
             self._fleet.forget(request.entry)
-            return turn_away(node)
-        self._fleet.hear(request, now)
+            return redirect(node)
+        self._fleet.record(request, now)
         wanted: int | None = None
         if request.entry in node.machine.entries:
             wanted = node.replica.begin_read()
@@ -92,12 +92,12 @@
             return False
         return self._fleet.in_force(index, node.machine.entries, now)
 
-    def forget_silent(self, node: Node, now: float) -> None:
+    def withdraw_silent(self, node: Node, now: float) -> None:
         """Withdraw the entries that have long been silent."""
         if not node.replica.is_ready or self._term != node.replica.term:
             return
         for entry in sorted(node.machine.entries):
-            if self._fleet.silent(entry, now) > FORGET_S:
+            if self._fleet.silence_s(entry, now) > FORGET_S:
                 node.propose(Withdraw(entry))
 
     def _observe(self, node: Node, now: float) -> dict[int, FollowReply]:
@@ -107,7 +107,7 @@
             return {}
         self._term = term
         self._fleet = Fleet(now)
-        answers = {ticket: turn_away(node) for ticket in self._open}
+        answers = {ticket: redirect(node) for ticket in self._open}
         self._open = {}
         return answers
 
@@ -119,7 +119,7 @@
         return question.request.entry in node.machine.entries
 
 
-def turn_away(node: Node) -> FollowReply:
+def redirect(node: Node) -> FollowReply:
     """Name the leader, as far as a replica that does not lead knows it."""
     leader = node.replica.membership.find(node.replica.leader)
     if leader is None or leader.identity == node.replica.identity:
@@ -127,7 +127,7 @@
     return FollowReply(leader.name, leader.grpc_address, False)
 
 
-def news_since(
+def tree_changes_since(
     node: Node, known: int, by_steps: bool = False
 ) -> FollowReply | None:
     """Give what changed in the tree since an index; None: nothing.
@@ -163,7 +163,7 @@
 def _tell(node: Node, request: FollowRequest) -> FollowReply:
     leader = node.replica.membership.find(node.replica.identity)
     name = leader.name if leader is not None else None
-    reply = news_since(node, request.index)
+    reply = tree_changes_since(node, request.index)
     if reply is None:
         reply = FollowReply(name, None, True, node.machine.tree.index)
     quarantine = quarantine_since(node, request.quarantine)
@@ -175,7 +175,7 @@
     )
 
 
-def quarantine_since(node: Node, known: int) -> QuarantineNews | None:
+def quarantine_since(node: Node, known: int) -> QuarantineUpdate | None:
     """List the cases, if they changed since a log index."""
     quarantine = node.machine.quarantine
     return quarantine.since(known) if quarantine.index > known else None
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -135,12 +135,12 @@
 
     @_apply.register
     def _(self, command: Refusal, index: int) -> Outcome:
-        self._tree.refuse(index, command)
+        self._tree.record_refusal(index, command)
         return None
 
     @_apply.register
     def _(self, command: Reconfigure, index: int) -> Outcome:
-        self._tree.note(
+        self._tree.add_audit_record(
             index, command.operator, command.detail, command.at_unix_s
         )
         return None
@@ -158,7 +158,7 @@
         lifted = self._quarantine.lift(index, command)
         if lifted.found:
             detail = f"quarantine lifted: {command.fingerprint}"
-            self._tree.note(
+            self._tree.add_audit_record(
                 index,
                 command.operator,
                 f"{detail} of {command.service}",
@@ -170,7 +170,7 @@
     def _(self, command: EvacuationOrder, index: int) -> Outcome:
         outcome = self._evacuations.apply(index, command)
         if outcome.changed:
-            self._tree.note(
+            self._tree.add_audit_record(
                 index,
                 command.operator,
                 command.describe(),
--- a/packages/core/nutmegchute_core/patches.py
+++ b/packages/core/nutmegchute_core/patches.py
@@ -30,7 +30,7 @@
     revisions: dict[str, int]
 
 
-def patched(document: dict[str, Any], patch: Patch) -> dict[str, Any]:
+def apply_patch(document: dict[str, Any], patch: Patch) -> dict[str, Any]:
     """Return a document with some of its items replaced or removed."""
     changed = dict(document)
     if patch.limits is not None:
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from .evacuations import EvacuationNews
+from .evacuations import EvacuationUpdate
 from .members import Announcement
 from .policies import Policy
 from .pools import Pool
@@ -37,12 +37,12 @@
         self._policy = policy
         self._warm_ups = warm_ups
         self._by_service: dict[str, Pool] = {}
-        self._evacuations = EvacuationNews(0, [])
+        self._evacuations = EvacuationUpdate(0, [])
         self._extra: tuple[float, float] | None = None
         self._inquiry_limit = (0.0, 1.0)
 
     @property
-    def evacuations(self) -> EvacuationNews:
+    def evacuations(self) -> EvacuationUpdate:
         """Give the evacuated availability zones, as known here."""
         return self._evacuations
 
@@ -98,7 +98,7 @@
         for name, pool in self.items():
             pool.update(by_service.get(name, []), now)
 
-    def evacuate(self, news: EvacuationNews, now: float) -> bool:
+    def evacuate(self, news: EvacuationUpdate, now: float) -> bool:
         """Take the evacuated availability zones; tell if they are newer.
 
         A replica that was frozen or cut off may still tell old ones.
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -172,7 +172,7 @@
 Key = tuple[str, str]
 
 
-class QuarantineNews(msgspec.Struct, frozen=True, array_like=True):
+class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Lead from the cases as of log index ``base`` to those of ``index``.
 
     A base of 0 means that ``cases`` is all there is.
@@ -267,7 +267,7 @@
         self._note_changes(before, index)
         return Lifted(found)
 
-    def since(self, index: int) -> QuarantineNews:
+    def since(self, index: int) -> QuarantineUpdate:
         """Tell what changed since a log index."""
         base = 0 if index < self._forgotten else index
         cases = []
@@ -282,7 +282,7 @@
                     )
                 )
         ended = [key for key, at in self._ended.items() if at > base]
-        return QuarantineNews(base, self._index, cases, ended)
+        return QuarantineUpdate(base, self._index, cases, ended)
 
     def evidence(self) -> list[Evidence]:
         """List all cases for operators."""
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from .directories import beside_endpoints
 from .directories import EntryInfo
-from .evacuations import EvacuationNews
+from .directories import exclude_evacuated
+from .evacuations import EvacuationUpdate
 from .fleets import FollowReply
 from .histories import Delta
 from .mirrors import Mark
 from .mirrors import NOTHING
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 from .warmups import EntryGroup
 
 # How long a question is held when there is nothing new. An entry asks one
@@ -91,8 +91,8 @@
     calls_per_s: float = 0.0
     current: bool = True
     counted: bool = True
-    quarantine: QuarantineNews | None = None
-    evacuations: EvacuationNews | None = None
+    quarantine: QuarantineUpdate | None = None
+    evacuations: EvacuationUpdate | None = None
     group: EntryGroup | None = None
 
 
@@ -293,7 +293,7 @@
     near: list[str] = []
     others: list[str] = []
     staying = [info for info in words if not info.draining]
-    for info in beside_endpoints(staying, evacuated):
+    for info in exclude_evacuated(staying, evacuated):
         same = info.availability_zone == zone
         (near if same else others).append(info.address)
     if len(near) >= LEAST_OF_ZONE:
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -7,7 +7,7 @@
 from .quarantines import FREE
 from .quarantines import Key
 from .quarantines import QUARANTINED
-from .quarantines import QuarantineNews
+from .quarantines import QuarantineUpdate
 from .quarantines import Report
 from .quarantines import Ruling
 from .quarantines import SUSPECT
@@ -92,7 +92,7 @@
         """Add something that control must hear."""
         self._reports.append(report)
 
-    def take(self, news: QuarantineNews, now: float) -> bool:
+    def take(self, news: QuarantineUpdate, now: float) -> bool:
         """Take what changed; return whether anything did."""
         if news.index <= self._index or news.base > self._index:
             return False
--- a/packages/core/nutmegchute_core/trees.py
+++ b/packages/core/nutmegchute_core/trees.py
@@ -9,8 +9,8 @@
 from .declarations import check_team
 from .declarations import check_tree
 from .errors import DeclarationError
+from .patches import apply_patch
 from .patches import Patch
-from .patches import patched
 from .patches import Step
 
 ACCEPTED = "accepted"
@@ -184,7 +184,7 @@
         self._record(index, change, answer, before)
         return answer
 
-    def refuse(self, index: int, refusal: Refusal) -> None:
+    def record_refusal(self, index: int, refusal: Refusal) -> None:
         """Put a change that was not let in on the audit trail."""
         revisions = {team: self._revision(team) for team in refusal.teams}
         self._audit.append(
@@ -200,7 +200,7 @@
             )
         )
 
-    def note(
+    def add_audit_record(
         self, index: int, operator: str, detail: str, at_unix_s: float
     ) -> None:
         """Put a change of the control replicas on the audit trail."""
@@ -320,7 +320,7 @@
         for team, patch in change.patches.items():
             if team not in merged:
                 raise DeclarationError(team, "there is no such branch")
-            document = patched(merged[team], patch)
+            document = apply_patch(merged[team], patch)
             check_team(team, document)
             asked[team] = merged[team] = document
         check_tree(merged)
--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -39,12 +39,12 @@
 from .groups import Group
 from .links import Links
 from .methods import FOLLOW
+from .proposals import PendingProposals
 from .quorums import QuorumReport
 from .settings import Settings
 from .storages import Identity
 from .storages import open_storage
 from .storages import Storage
-from .waits import Waits
 
 PROPOSE_TIMEOUT_S = 3.0
 HAND_OVER_S = 0.3
@@ -94,7 +94,7 @@
         self._follows = FollowServer(
             self._loop, lambda: self._node, self._flush_soon
         )
-        self._waits = Waits(self._loop)
+        self._proposals = PendingProposals(self._loop)
         self._led_term: int | None = None
         self._quorum_report = QuorumReport(self._loop.time())
         self._stopping = False
@@ -176,7 +176,7 @@
         self._stopping = True
         if self._timer is not None:
             self._timer.cancel()
-        self._follows.turn_away_all()
+        self._follows.redirect_all()
 
     def close(self) -> None:
         """Close the disk."""
@@ -308,7 +308,7 @@
     async def _decision(self, index: int, term: int) -> Outcome:
         self._flush_soon()
         async with asyncio.timeout(PROPOSE_TIMEOUT_S):
-            return await self._waits.decision(index, term)
+            return await self._proposals.wait(index, term)
 
     def _tick(self) -> None:
         self._timer = None
@@ -355,9 +355,9 @@
 
     def _settle(self, node: Node, flushed: FlushResult) -> None:
         for decided in flushed.decided:
-            self._waits.decide(decided)
+            self._proposals.resolve(decided)
         if flushed.restored:
-            self._waits.lose()
+            self._proposals.fail_all()
         self._follows.advance(node)
         if flushed.decided or flushed.restored:
             self._changed()
@@ -440,7 +440,7 @@
         # agreement survives; going on would not.
         self._problem = str(error)
         log(Event.STORAGE_FAILED, "error", problem=str(error))
-        self._waits.lose()
+        self._proposals.fail_all()
         self._follows.reset()
         self._report_lead(None)
         await asyncio.sleep(RECOVER_S)
@@ -455,7 +455,7 @@
             await self._group.introduce(node.replica.membership.members)
         if not node.replica.is_ready:
             return
-        self._follows.forget_silent(node)
+        self._follows.withdraw_silent(node)
         try:
             await self._change_group(node)
         except (NotLeaderError, ReconfigurationError, TimeoutError):
--- a/packages/daemon/nutmegchute_daemon/claims.py
+++ b/packages/daemon/nutmegchute_daemon/claims.py
@@ -29,14 +29,14 @@
 MAX_BATCH = 512
 MAX_WAITING = 4096
 MAX_SETTLEMENTS = 16384
-MAX_KEY = 255
+MAX_KEY_LENGTH = 255
 DIGEST_BYTES = 16
 TOKEN_BITS = 62
 
 OnAnswer = Callable[[ClaimAnswer | None], None]
 
 
-class KeyFormError(DaemonError):
+class InvalidKeyError(DaemonError):
     """Say that an idempotency key cannot be taken."""
 
 
@@ -48,9 +48,9 @@
     :raises KeyFormError: the key is empty, too long or not plain ASCII
     """
     plain = key.isascii() and key.isprintable()
-    if not 0 < len(key) <= MAX_KEY or not plain:
-        raise KeyFormError(
-            f"the key must be 1 to {MAX_KEY} printable ASCII characters"
+    if not 0 < len(key) <= MAX_KEY_LENGTH or not plain:
+        raise InvalidKeyError(
+            f"the key must be 1 to {MAX_KEY_LENGTH} printable ASCII characters"
         )
     fingerprint = _digest(
         method.encode(), target.encode("utf-8", "surrogateescape"), body
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -20,8 +20,8 @@
 from nutmegchute_core.claims import NOT_RUN as NEVER_RAN
 from nutmegchute_core.claims import RAN
 from nutmegchute_core.claims import UNKNOWN
-from nutmegchute_core.evacuations import EvacuationNews
-from nutmegchute_core.quarantines import QuarantineNews
+from nutmegchute_core.evacuations import EvacuationUpdate
+from nutmegchute_core.quarantines import QuarantineUpdate
 from nutmegchute_core.quarantines import Report
 from nutmegchute_core.quarantines import Ruling
 from nutmegchute_core.quarantines import TrialRequest
@@ -150,7 +150,7 @@
                 self._report_crash(ticket, send)
         self.perform(self._balancer.finish(result, self._loop.time()))
 
-    def apply_quarantine(self, news: QuarantineNews) -> None:
+    def apply_quarantine(self, news: QuarantineUpdate) -> None:
         """Take the requests that may crash endpoints, as control tells."""
         log(
             Event.QUARANTINE_APPLIED,
@@ -161,7 +161,7 @@
         now = self._loop.time()
         self.perform(self._balancer.apply_quarantine(news, now))
 
-    def apply_evacuations(self, news: EvacuationNews) -> None:
+    def apply_evacuations(self, news: EvacuationUpdate) -> None:
         """Take the evacuated availability zones, as control tells."""
         log(
             Event.EVACUATIONS_APPLIED,
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -262,7 +262,7 @@
 
     def usable_entries(self, zone: str | None) -> list[EntryInfo]:
         """Choose the entries that a caller should use."""
-        return self._directory.answer(
+        return self._directory.choose(
             zone,
             self._settings.entries_answer,
             boot_time(),
--- a/packages/daemon/nutmegchute_daemon/evacuations.py
+++ b/packages/daemon/nutmegchute_daemon/evacuations.py
@@ -16,7 +16,7 @@
     def __init__(self, agreement: Agreement) -> None:
         self._agreement = agreement
 
-    async def give(self, order: EvacuationOrder) -> bool:
+    async def submit(self, order: EvacuationOrder) -> bool:
         """Give an order; tell if it changed anything.
 
         It cannot be lost any more when this returns, and every entry heeds
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -5,10 +5,10 @@
 
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.followings import Followings
+from nutmegchute_core.long_polls import LongPolls
 from nutmegchute_core.nodes import Node
 
-TURNED_AWAY = FollowReply(None, None, False)
+UNKNOWN_LEADER = FollowReply(None, None, False)
 
 
 class FollowServer:
@@ -20,7 +20,7 @@
 
     __slots__ = (
         "_flush_soon",
-        "_followings",
+        "_long_polls",
         "_loop",
         "_node",
         "_open",
@@ -36,24 +36,24 @@
         self._loop = loop
         self._node = node
         self._flush_soon = flush_soon
-        self._followings = Followings()
+        self._long_polls = LongPolls()
         self._open: dict[int, asyncio.Future[FollowReply]] = {}
         self._ticket = 0
 
     @property
     def applied(self) -> dict[str, int]:
         """Map each entry that asks here to the tree it has in force."""
-        return self._followings.fleet.applied()
+        return self._long_polls.fleet.applied()
 
     async def ask(self, request: FollowRequest) -> FollowReply:
         """Take a question and wait for its answer."""
         node = self._node()
         if node is None:
-            return TURNED_AWAY
+            return UNKNOWN_LEADER
         self._ticket += 1
         ticket = self._ticket
         now = self._loop.time()
-        reply = self._followings.ask(ticket, request, node, now)
+        reply = self._long_polls.enqueue(ticket, request, node, now)
         self._flush_soon()
         if reply is not None:
             return reply
@@ -66,24 +66,24 @@
 
     def advance(self, node: Node) -> None:
         """Give the answers that are due."""
-        self._answer(self._followings.advance(node, self._loop.time()))
+        self._answer(self._long_polls.advance(node, self._loop.time()))
 
     def in_force(self, index: int, node: Node) -> bool:
         """Tell whether no live entry still acts on an older index."""
-        return self._followings.in_force(index, node, self._loop.time())
+        return self._long_polls.in_force(index, node, self._loop.time())
 
-    def forget_silent(self, node: Node) -> None:
+    def withdraw_silent(self, node: Node) -> None:
         """Withdraw the entries that have long been silent."""
-        self._followings.forget_silent(node, self._loop.time())
+        self._long_polls.withdraw_silent(node, self._loop.time())
 
-    def turn_away_all(self) -> None:
+    def redirect_all(self) -> None:
         """Answer every open question: ask another replica."""
-        self._answer(dict.fromkeys(self._open, TURNED_AWAY))
+        self._answer(dict.fromkeys(self._open, UNKNOWN_LEADER))
 
     def reset(self) -> None:
         """Turn all away and forget what is known of entries."""
-        self.turn_away_all()
-        self._followings = Followings()
+        self.redirect_all()
+        self._long_polls = LongPolls()
 
     def _answer(self, answers: dict[int, FollowReply]) -> None:
         for ticket, reply in answers.items():
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 import msgspec
-from nutmegchute_core.evacuations import EvacuationNews
-from nutmegchute_core.fleets import FLEET_LEASE_S
+from nutmegchute_core.evacuations import EvacuationUpdate
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
 from nutmegchute_core.fleets import HOLD_S
 from nutmegchute_core.fleets import RelayReply
-from nutmegchute_core.fleets import Standing
-from nutmegchute_core.quarantines import QuarantineNews
+from nutmegchute_core.fleets import TREE_LEASE_S
+from nutmegchute_core.fleets import TreeLease
+from nutmegchute_core.quarantines import QuarantineUpdate
 
 from .events import Event
 from .events import log
@@ -41,7 +41,7 @@
         "_on_tree",
         "_relay",
         "_settings",
-        "_standing",
+        "_lease",
         "_target",
         "_tree",
         "_turn",
@@ -62,17 +62,17 @@
         self._links = links
         self._on_tree = on_tree
         self._entries = [one for one in settings.entries if one != own]
-        self._standing = Standing(len(self._entries))
+        self._lease = TreeLease(len(self._entries))
         self._target: str | None = None
         self._relay: str | None = None
         self._turn = 0
         self._lapsed = False
         self._tree = TreeCopy()
         # Takes the requests that may crash endpoints, where they changed.
-        self.on_quarantine: Callable[[QuarantineNews], None]
+        self.on_quarantine: Callable[[QuarantineUpdate], None]
         self._quarantine = 0
         # Takes the evacuated availability zones, where they changed.
-        self.on_evacuations: Callable[[EvacuationNews], None]
+        self.on_evacuations: Callable[[EvacuationUpdate], None]
         self._evacuations = 0
         links.serve(RELAY, self._on_relay)
 
@@ -89,11 +89,11 @@
     @property
     def has_lease(self) -> bool:
         """Tell whether a leader confirmed the tree lately."""
-        return self._standing.has_lease(_clock())
+        return self._lease.has_lease(_clock())
 
     def may_act(self) -> bool:
         """Tell whether calls may be sent by the tree at hand."""
-        return self.index > 0 and self._standing.may_act(_clock())
+        return self.index > 0 and self._lease.may_act(_clock())
 
     async def follow(self) -> None:
         """Ask once for a newer tree; the leader holds the question."""
@@ -152,7 +152,7 @@
         if answer is None:
             return False
         if answer.reply is None:
-            self._standing.reach(address, _clock())
+            self._lease.record_leaderless(address, _clock())
             return False
         if not answer.reply.current:
             return False
@@ -172,7 +172,7 @@
         return RelayReply(reply or FollowReply(None, None, False))
 
     def _request(self, hold: bool) -> FollowRequest:
-        hold = hold and self._standing.may_hold(_clock())
+        hold = hold and self._lease.may_hold(_clock())
         return FollowRequest(
             self._settings.name,
             self.index,
@@ -191,7 +191,7 @@
         if reply.evacuations is not None:
             self._evacuations = reply.evacuations.index
             self.on_evacuations(reply.evacuations)
-        if self._tree.take(reply):
+        if self._tree.apply_reply(reply):
             self._on_tree(
                 msgspec.structs.replace(
                     reply,
@@ -203,7 +203,7 @@
         if reply.quarantine is not None:
             self._quarantine = reply.quarantine.index
             self.on_quarantine(reply.quarantine)
-        self._standing.renew(asked_at)
+        self._lease.renew(asked_at)
         self._report_lease()
 
     def _report_lease(self) -> None:
@@ -215,7 +215,7 @@
             log(
                 Event.LEASE_LAPSED,
                 "warning",
-                lease_s=FLEET_LEASE_S,
+                lease_s=TREE_LEASE_S,
                 acting=self.may_act(),
             )
         else:
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -125,7 +125,7 @@
             return
         # Callers must not be sent to a vm that is gone; should only the
         # link be cut, the next exchange takes the entry in again.
-        self._directory.lose(self._names.get(address, ""))
+        self._directory.remove(self._names.get(address, ""))
 
     async def _on_gossip(self, gossip: Gossip) -> Gossip:
         self._hear(gossip)
@@ -151,5 +151,5 @@
             self._exchanged.pop(gossip.grpc_address, None)
             return
         self._exchanged[gossip.grpc_address] = now
-        self._directory.hear(gossip.word, gossip.demand, dated_at)
+        self._directory.update(gossip.word, gossip.demand, dated_at)
         self.refresh()
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -246,8 +246,8 @@
         order = EvacuationOrder(
             zone, request.evacuate, operator.name, time.time()
         )
-        give = self._daemon.evacuations.give(order)
-        changed = self._run(give, "/evacuations")
+        submit = self._daemon.evacuations.submit(order)
+        changed = self._run(submit, "/evacuations")
         detail = order.describe() if changed else "nothing to change"
         return as_json(EvacuationAnswer(ACCEPTED, detail))
 
--- a/packages/daemon/nutmegchute_daemon/waits.py
+++ b/packages/daemon/nutmegchute_daemon/proposals.py
@@ -7,7 +7,7 @@
 from nutmegchute_core.nodes import AppliedEntry
 
 
-class Waits:
+class PendingProposals:
     """Resolve futures by their place in the log."""
 
     __slots__ = ("_loop", "_places")
@@ -16,7 +16,7 @@
         self._loop = loop
         self._places: dict[int, tuple[int, asyncio.Future[Outcome]]] = {}
 
-    async def decision(self, index: int, term: int) -> Outcome:
+    async def wait(self, index: int, term: int) -> Outcome:
         """Wait for what became of the entry proposed at a place.
 
         :raises NotLeaderError: another entry took the place, so this one
@@ -30,7 +30,7 @@
             if self._places.get(index) == (term, future):
                 del self._places[index]
 
-    def decide(self, decided: AppliedEntry) -> None:
+    def resolve(self, decided: AppliedEntry) -> None:
         """Tell the waiter of a place what was decided there."""
         waiting = self._places.pop(decided.entry.index, None)
         if waiting is None:
@@ -43,7 +43,7 @@
         else:
             future.set_exception(NotLeaderError(None))
 
-    def lose(self) -> None:
+    def fail_all(self) -> None:
         """End all waits; their outcome is not known."""
         for _, future in self._places.values():
             if not future.done():
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -8,7 +8,7 @@
 from urllib3 import HTTPHeaderDict
 
 from .claims import build_claim
-from .claims import KeyFormError
+from .claims import InvalidKeyError
 from .errors import DaemonError
 from .exchanges import Body
 from .exchanges import StrictRequest
@@ -181,5 +181,5 @@
             request.target,
             request.body,
         )
-    except KeyFormError as error:
+    except InvalidKeyError as error:
         raise BadRequestError(400, f"{KEY_HEADER}: {error}") from error
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -6,8 +6,8 @@
 
 import msgspec
 from nutmegchute_core.discovery import Discovery
-from nutmegchute_core.followings import news_since
-from nutmegchute_core.followings import quarantine_since
+from nutmegchute_core.long_polls import quarantine_since
+from nutmegchute_core.long_polls import tree_changes_since
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import DRAINING
 from nutmegchute_core.members import Process
@@ -424,7 +424,7 @@
             return reply
         return msgspec.structs.replace(
             reply,
-            tree=news_since(node, request.index, True),
+            tree=tree_changes_since(node, request.index, True),
             quarantine=quarantine_since(node, request.quarantine),
             evacuations=node.machine.evacuations.since(request.evacuations),
             group=self._group(node, request),
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -322,7 +322,7 @@
         # Before the tree: an entry that starts acts as soon as it has one.
         if reply.evacuations is not None:
             self._dispatcher.apply_evacuations(reply.evacuations)
-        if reply.tree is not None and self._tree.take(reply.tree):
+        if reply.tree is not None and self._tree.apply_reply(reply.tree):
             self._apply()
         if reply.quarantine is not None:
             self._dispatcher.apply_quarantine(reply.quarantine)
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.patches import patched
+from nutmegchute_core.patches import apply_patch
 from nutmegchute_core.patches import Step
 
 
@@ -32,7 +32,7 @@
         """Map each team to the revision in force here."""
         return self._revisions
 
-    def take(self, reply: FollowReply) -> bool:
+    def apply_reply(self, reply: FollowReply) -> bool:
         """Take what changed; return whether it is newer."""
         if reply.index <= self._index:
             return False
@@ -55,7 +55,7 @@
             changed = dict(step.documents)
             for team, patch in step.patches.items():
                 document = changed.get(team, self._documents.get(team))
-                changed[team] = patched(document or {}, patch)
+                changed[team] = apply_patch(document or {}, patch)
             self._replace(changed, step.revisions)
             self._index = step.index
         return self._index > before
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -10,11 +10,11 @@
 from nutmegchute_core.errors import NotLeaderError
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.fleets import Standing
-from nutmegchute_core.followings import Followings
+from nutmegchute_core.fleets import TreeLease
 from nutmegchute_core.formations import Formation
 from nutmegchute_core.formations import Introduction
 from nutmegchute_core.join_requests import JoinRequests
+from nutmegchute_core.long_polls import LongPolls
 from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
@@ -115,7 +115,7 @@
         self._alarm = 0.0
         self._waiting: dict[int, tuple[int, Any]] = {}
         self._questions: dict[int, Callable[[FollowReply], None]] = {}
-        self._followings = Followings()
+        self._long_polls = LongPolls()
         self._ticket = 0
         self._join_requests = JoinRequests()
         self._heard_leader = ""
@@ -137,7 +137,7 @@
         self.node = None
         self._waiting = {}
         self._questions = {}
-        self._followings = Followings()
+        self._long_polls = LongPolls()
         self.disk.crash()
 
     def stop(self) -> None:
@@ -186,7 +186,7 @@
         ticket = self._ticket
         self._questions[ticket] = told
         now = self._cluster.now
-        reply = self._followings.ask(ticket, request, self.node, now)
+        reply = self._long_polls.enqueue(ticket, request, self.node, now)
         if reply is not None:
             self._questions.pop(ticket)(reply)
         self._guard(self._flush)
@@ -195,7 +195,7 @@
         """Tell whether this leader says that an index is in force."""
         if self.node is None:
             return False
-        return self._followings.in_force(index, self.node, self._cluster.now)
+        return self._long_polls.in_force(index, self.node, self._cluster.now)
 
     def take(self, message: Message, sender: "FakeReplica") -> None:
         """Take a message and its sender, who learns of a lost disk."""
@@ -368,7 +368,7 @@
             self.node = None
             self._waiting = {}
             self._questions = {}
-            self._followings = Followings()
+            self._long_polls = LongPolls()
             start = self.starts
             self._cluster.after(RECOVER_S, lambda: self._recover(start))
 
@@ -419,7 +419,7 @@
             oracle.lead(node.replica.term, node.replica.identity)
         for message in flushed.messages:
             self._cluster.deliver(self.name, message)
-        answers = self._followings.advance(node, self._cluster.now)
+        answers = self._long_polls.advance(node, self._cluster.now)
         for ticket, reply in answers.items():
             told = self._questions.pop(ticket, None)
             if told is not None:
@@ -447,7 +447,7 @@
     def restart(self) -> None:
         """Forget everything."""
         self.index = 0
-        self.standing = Standing(self._others)
+        self.lease = TreeLease(self._others)
         self.epoch = getattr(self, "epoch", 0) + 1
         self._floor = self._cluster.in_force_index
 
@@ -473,7 +473,7 @@
         late = self._cluster.now - asked_at > FOLLOW_TIMEOUT_S
         if epoch != self.epoch or not reply.current or late:
             return
-        self.standing.renew(asked_at)
+        self.lease.renew(asked_at)
         if reply.documents is None or reply.index <= self.index:
             return
         if reply.index < self._floor:
@@ -620,7 +620,7 @@
         for entry in self.entries:
             if entry.index >= self.in_force_index or not entry.index:
                 continue
-            if entry.standing.has_lease(self.now):
+            if entry.lease.has_lease(self.now):
                 raise OracleError(
                     f"{entry.name} acts on {entry.index} while "
                     f"{self.in_force_index} is in force"
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -14,7 +14,7 @@
 from nutmegchute_core.calls import Send
 from nutmegchute_core.members import DRAINING
 from nutmegchute_core.quarantines import Notice
-from nutmegchute_core.quarantines import QuarantineNews
+from nutmegchute_core.quarantines import QuarantineUpdate
 from nutmegchute_core.quarantines import SUSPECT
 from nutmegchute_core.rules import read_services
 from support import announcement
@@ -199,7 +199,7 @@
     balancer.arrive("catalogo", "GET", "/", 1.0, fingerprint="bad")
     if suspect:
         notice = Notice("catalogo", "bad", SUSPECT)
-        balancer.apply_quarantine(QuarantineNews(0, 1, [notice]), 1.0)
+        balancer.apply_quarantine(QuarantineUpdate(0, 1, [notice]), 1.0)
     sends: list[Action] = []
     for tick in range(1, 200):
         sends += balancer.tick(1.0 + tick * 0.01)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -14,9 +14,9 @@
 from nutmegchute_core.claims import Settlement
 from nutmegchute_daemon.claims import build_claim
 from nutmegchute_daemon.claims import Claimer
-from nutmegchute_daemon.claims import KeyFormError
+from nutmegchute_daemon.claims import InvalidKeyError
 from nutmegchute_daemon.claims import LedgerClock
-from nutmegchute_daemon.claims import MAX_KEY
+from nutmegchute_daemon.claims import MAX_KEY_LENGTH
 from nutmegchute_daemon.settings import Settings
 
 PEERS = [
@@ -174,10 +174,12 @@
         assert one.fingerprint != other.fingerprint
 
 
-@pytest.mark.parametrize("key", ["", "x" * (MAX_KEY + 1), "a\nb", "clé"])
+@pytest.mark.parametrize(
+    "key", ["", "x" * (MAX_KEY_LENGTH + 1), "a\nb", "clé"]
+)
 def test_malformed_keys_are_refused(key: str) -> None:
     """Take only keys that every library passes on unchanged."""
-    with pytest.raises(KeyFormError):
+    with pytest.raises(InvalidKeyError):
         build_claim("prestamos", key, "POST", "/loans", b"")
 
 
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -44,7 +44,7 @@
         for one in self.directories:
             demand = one.demand(self.now)
             for other in self.directories:
-                other.hear(one.own, dict(demand), self.now)
+                other.update(one.own, dict(demand), self.now)
 
     def round(self) -> None:
         """Let every caller ask once within the time to keep."""
@@ -53,7 +53,7 @@
             if self._random.random() < 0.1:
                 self.gossip()
             place = self._random.choice(kept or range(ENTRIES))
-            words = self.directories[place].answer(zone, MOST, self.now)
+            words = self.directories[place].choose(zone, MOST, self.now)
             kept[:] = [int(one.name[6:]) - 1 for one in words]
         self.gossip()
 
@@ -95,24 +95,24 @@
 def test_draining_and_vanished_entries_leave() -> None:
     """Name no entry that said it drains or fell silent."""
     directory = Directory(word(1, "surco"))
-    directory.hear(word(2, "surco"), {}, 10.0)
-    directory.hear(word(3, "surco"), {}, 10.0)
-    assert len(directory.answer("surco", MOST, 10.0)) == 3
-    directory.hear(word(2, "surco", draining=True), {}, 10.1)
-    directory.hear(word(2, "surco"), {}, 9.9)
-    names = [one.name for one in directory.answer(None, MOST, 10.1)]
+    directory.update(word(2, "surco"), {}, 10.0)
+    directory.update(word(3, "surco"), {}, 10.0)
+    assert len(directory.choose("surco", MOST, 10.0)) == 3
+    directory.update(word(2, "surco", draining=True), {}, 10.1)
+    directory.update(word(2, "surco"), {}, 9.9)
+    names = [one.name for one in directory.choose(None, MOST, 10.1)]
     assert sorted(names) == ["entry-1", "entry-3"]
     late = 10.1 + ENTRY_LEASE_S
     directory.expire(late)
     assert [one.name for one in directory.usable(late)] == ["entry-1"]
     directory.drain()
-    assert directory.answer("surco", MOST, late) == []
+    assert directory.choose("surco", MOST, late) == []
 
 
 def test_unknown_zones_cost_no_memory() -> None:
     """Treat made-up zones as none."""
     directory = Directory(word(1, "surco"))
     for number in range(1000):
-        assert directory.answer(f"zone-{number}", MOST, 1.0)
+        assert directory.choose(f"zone-{number}", MOST, 1.0)
     assert directory.demand(1.0) == {}
     assert set(directory._credits) == {None}
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -11,9 +11,9 @@
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.errors import EvacuationError
 from nutmegchute_core.evacuations import check_zone
-from nutmegchute_core.evacuations import EvacuationNews
 from nutmegchute_core.evacuations import EvacuationOrder
 from nutmegchute_core.evacuations import EvacuationOutcome
+from nutmegchute_core.evacuations import EvacuationUpdate
 from nutmegchute_core.machines import MachineState
 from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.members import Announcement
@@ -79,7 +79,7 @@
         "ana",
         1.0,
     )
-    assert other.evacuations.since(0) == EvacuationNews(3, [NEAR])
+    assert other.evacuations.since(0) == EvacuationUpdate(3, [NEAR])
     assert [one.detail for one in other.tree.audit] == [
         f"availability zone {NEAR} evacuated",
         f"availability zone {FAR} evacuated",
@@ -118,7 +118,7 @@
     """Guard against endpoints that come to a zone evacuated before."""
     check_zone("hall-9")
     found = balancer(FAR)
-    found.apply_evacuations(EvacuationNews(5, ["hall-9"]), 0.0)
+    found.apply_evacuations(EvacuationUpdate(5, ["hall-9"]), 0.0)
     found.update_upstreams([endpoint(1, "hall-9"), endpoint(2, FAR)], 1.0)
     for number in range(4):
         _, actions = found.arrive(SERVICE, "GET", "/a", 1.0 + number)
@@ -129,7 +129,7 @@
 def test_nothing_is_sent_to_an_evacuated_zone() -> None:
     """Guard against first sends, retries and hedges in an evacuated zone."""
     found = balancer(NEAR, FAR, NEAR, FAR)
-    found.apply_evacuations(EvacuationNews(5, [NEAR]), 0.0)
+    found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.0)
     reached = []
     for number in range(30):
         now = number * 0.1
@@ -157,7 +157,7 @@
             busy[call_id] = send
     assert 0 < len(busy) < 6
     later: list[Send] = []
-    found.apply_evacuations(EvacuationNews(5, [NEAR]), 0.1)
+    found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
     for call_id, send in busy.items():
         result = Result(call_id, send.attempt, "answered", 0.2)
         later += sends(found.finish(result, 0.2))
@@ -172,7 +172,7 @@
         _, actions = found.arrive(SERVICE, "GET", "/a", 0.0)
         sent += len(sends(actions))
     assert sent < 8
-    actions = found.apply_evacuations(EvacuationNews(5, [NEAR]), 0.1)
+    actions = found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
     refused = [one for one in actions if isinstance(one, Refuse)]
     assert len(refused) == 8 - sent
     pauses = set()
@@ -184,7 +184,7 @@
         pauses.add(refusal.retry_after_s)
     assert len(pauses) == 8
     assert min(pauses) >= 0.5
-    found.apply_evacuations(EvacuationNews(6, []), 1.0)
+    found.apply_evacuations(EvacuationUpdate(6, []), 1.0)
     _, actions = found.arrive(SERVICE, "GET", "/a", 1.0)
     assert not [one for one in actions if isinstance(one, Refuse)]
 
@@ -192,8 +192,8 @@
 def test_older_word_takes_nothing_back() -> None:
     """Guard against a replica that wakes up with what it knew before."""
     found = balancer(NEAR, FAR)
-    found.apply_evacuations(EvacuationNews(7, [NEAR]), 0.0)
-    found.apply_evacuations(EvacuationNews(5, []), 0.1)
+    found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
+    found.apply_evacuations(EvacuationUpdate(5, []), 0.1)
     found.update_upstreams([endpoint(1, NEAR), endpoint(2, FAR)], 0.2)
     _, actions = found.arrive(SERVICE, "GET", "/a", 0.3)
     assert [one.endpoint for one in sends(actions)] == ["10.0.0.2:80"]
@@ -202,7 +202,7 @@
 def test_service_that_is_declared_later_heeds_what_is_evacuated() -> None:
     """Guard against a change of the configuration that opens a zone."""
     found = balancer(NEAR, FAR)
-    found.apply_evacuations(EvacuationNews(7, [NEAR]), 0.0)
+    found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
     found.configure({}, 0.1)
     document = team(**{SERVICE: [rule()]})
     found.configure(read_services({"lending": document}), 0.2)
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 import pytest
-from nutmegchute_core.fleets import FLEET_LEASE_S
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
 from nutmegchute_core.fleets import RelayReply
-from nutmegchute_core.fleets import Standing
+from nutmegchute_core.fleets import TREE_LEASE_S
+from nutmegchute_core.fleets import TreeLease
 from nutmegchute_daemon import followers
 from nutmegchute_daemon.followers import Follower
 from nutmegchute_daemon.methods import FOLLOW
@@ -167,7 +167,7 @@
 
     rig.links.answer = answer
     rig.follow()
-    rig.now += FLEET_LEASE_S - 4.0 - 0.1
+    rig.now += TREE_LEASE_S - 4.0 - 0.1
     assert rig.follower.has_lease
     rig.now += 0.2
     assert not rig.follower.has_lease
@@ -179,7 +179,7 @@
     rig.follow()
     rig.follow()
     assert rig.links.asked[-1][1].hold
-    rig.now += FLEET_LEASE_S - 1.0
+    rig.now += TREE_LEASE_S - 1.0
     rig.follow()
     assert not rig.links.asked[-1][1].hold
 
@@ -217,7 +217,7 @@
     rig.links.answer = lambda address, request: (
         RelayReply(None) if address in ENTRIES else None
     )
-    rig.now += FLEET_LEASE_S + 1.0
+    rig.now += TREE_LEASE_S + 1.0
     rig.follow()
     assert not rig.follower.has_lease
     assert rig.follower.may_act()
@@ -232,7 +232,7 @@
     rig.links.answer = lambda address, request: tree(5)
     rig.follow()
     rig.links.answer = lambda address, request: None
-    rig.now += FLEET_LEASE_S + 1.0
+    rig.now += TREE_LEASE_S + 1.0
     rig.follow()
     assert not rig.follower.may_act()
 
@@ -245,8 +245,8 @@
     others: int, reached: int, acts: bool
 ) -> None:
     """Two halves of a cut network never both go on without a lease."""
-    standing = Standing(others)
+    lease = TreeLease(others)
     for number in range(reached):
-        standing.reach(f"entry-{number}", 100.0)
-    assert standing.may_act(100.0) is acts
-    assert standing.may_act(100.0 + FLEET_LEASE_S + 1.0) is (others == 0)
+        lease.record_leaderless(f"entry-{number}", 100.0)
+    assert lease.may_act(100.0) is acts
+    assert lease.may_act(100.0 + TREE_LEASE_S + 1.0) is (others == 0)
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -13,7 +13,7 @@
 from nutmegchute_core.quarantines import FREE
 from nutmegchute_core.quarantines import Notice
 from nutmegchute_core.quarantines import QUARANTINED
-from nutmegchute_core.quarantines import QuarantineNews
+from nutmegchute_core.quarantines import QuarantineUpdate
 from nutmegchute_core.quarantines import Ruling
 from nutmegchute_core.quarantines import SUSPECT
 from nutmegchute_core.quarantines import TrialEnd
@@ -45,7 +45,7 @@
 
     def told(self, index: int, state: str) -> list[Release]:
         """Tell the state of the bad request."""
-        news = QuarantineNews(0, index, [Notice(DESK, BAD, state, 60.0)])
+        news = QuarantineUpdate(0, index, [Notice(DESK, BAD, state, 60.0)])
         return self.isolation.take_news(news, 0.0)
 
     def held(self) -> tuple[Call, TrialRequest]:
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -20,10 +20,10 @@
 from nutmegchute_core.claims import RAN
 from nutmegchute_core.claims import Settlement
 from nutmegchute_core.claims import UNKNOWN
-from nutmegchute_core.ledgers import KEPT_S
 from nutmegchute_core.ledgers import Ledger
 from nutmegchute_core.ledgers import LedgerState
-from nutmegchute_core.ledgers import MOST_KEPT_S
+from nutmegchute_core.ledgers import MAX_KEPT_S
+from nutmegchute_core.ledgers import MIN_KEPT_S
 
 
 def claim(token: int, key: str = "atlas", request: str = "loan") -> Claim:
@@ -105,12 +105,12 @@
     """Refuse new keys rather than forget old ones; age frees them."""
     ledger = Ledger(most=2)
     ask(ledger, claim(1, "a"))
-    ask(ledger, claim(2, "b"), elapsed_s=KEPT_S / 2)
+    ask(ledger, claim(2, "b"), elapsed_s=MIN_KEPT_S / 2)
     assert ask(ledger, claim(3, "c")).outcome == FULL
     settle(ledger, claim(4, "d"), NOT_RUN)
     assert len(ledger) == 2
     assert ask(ledger, claim(5, "a")).outcome == OPEN
-    late = KEPT_S / 2 + 1
+    late = MIN_KEPT_S / 2 + 1
     assert ask(ledger, claim(3, "c"), elapsed_s=late).outcome == FIRST
     assert ask(ledger, claim(6, "b")).outcome == OPEN
 
@@ -119,8 +119,8 @@
     """Hold a key for long after KEPT_S, but not for ever."""
     ledger = Ledger(most=2)
     ask(ledger, claim(1, "a"))
-    assert ask(ledger, claim(2, "a"), elapsed_s=KEPT_S * 4).outcome == OPEN
-    late = MOST_KEPT_S + 1
+    assert ask(ledger, claim(2, "a"), elapsed_s=MIN_KEPT_S * 4).outcome == OPEN
+    late = MAX_KEPT_S + 1
     assert ask(ledger, claim(3, "a"), elapsed_s=late).outcome == FIRST
     assert len(ledger) == 1
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -6,8 +6,8 @@
 from nutmegchute_core.fleets import Enroll
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.followings import Followings
 from nutmegchute_core.logs import Log
+from nutmegchute_core.long_polls import LongPolls
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
 from nutmegchute_core.memberships import Reconfigure
@@ -230,7 +230,7 @@
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
     silent = cluster.entries[0]
     assert cluster.run_until(
-        lambda: silent.standing.has_lease(cluster.now) and silent.index > 0,
+        lambda: silent.lease.has_lease(cluster.now) and silent.index > 0,
         5.0,
     )
     for name in cluster.names:
@@ -242,10 +242,10 @@
         settle(cluster)
     before = cluster.in_force_index
     accept(cluster, "b", 1)
-    assert silent.standing.has_lease(cluster.now)
+    assert silent.lease.has_lease(cluster.now)
     assert cluster.in_force_index == before
     assert cluster.run_until(lambda: cluster.in_force_index > before, 12.0)
-    assert not silent.standing.has_lease(cluster.now)
+    assert not silent.lease.has_lease(cluster.now)
 
 
 def test_new_entry_is_known_before_its_first_tree() -> None:
@@ -337,19 +337,21 @@
     replica.receive(VoteReply("r2", "r1", 4, True, True), 5.0)
     replica.receive(VoteReply("r2", "r1", 4, True, False), 5.0)
     node.flush()
-    followings = Followings()
+    long_polls = LongPolls()
     for ticket in (1, 2):
         node.machine.entries.add("e")
-        followings.ask(ticket, FollowRequest("e", 0, hold=False), node, 5.0)
+        long_polls.enqueue(
+            ticket, FollowRequest("e", 0, hold=False), node, 5.0
+        )
     replica.tick(5.5)
     node.flush()
     replica.receive(AppendReply("r2", "r1", 4, 9, False, 0), 5.5)
     node.flush()
     assert replica.confirmed_round >= 2
-    assert followings.advance(node, 5.5) == {}
+    assert long_polls.advance(node, 5.5) == {}
     match(replica, 3)
     node.flush()
-    answers = followings.advance(node, 5.5)
+    answers = long_polls.advance(node, 5.5)
     assert {one.index for one in answers.values()} == {2}
 
 
--- a/tests/test_tree_copies.py
+++ b/tests/test_tree_copies.py
@@ -50,7 +50,7 @@
         tree, 3, documents={TEAM: {"services": {"desk": {}}, "routes": routes}}
     )
     copy = TreeCopy()
-    assert copy.take(whole(tree, 3))
+    assert copy.apply_reply(whole(tree, 3))
     return tree, copy
 
 
@@ -66,7 +66,7 @@
     change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(copy.index)
     assert steps is not None and [one.index for one in steps] == [5, 9]
-    assert copy.take(FollowReply(None, None, True, 9, steps=steps))
+    assert copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
     assert copy.documents == tree.documents
     assert (copy.index, copy.revisions) == (9, tree.revisions)
 
@@ -78,7 +78,7 @@
     change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(5)
     assert steps is not None
-    assert not copy.take(FollowReply(None, None, True, 9, steps=steps))
+    assert not copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
     assert copy.index == 3
 
 
@@ -86,11 +86,11 @@
     """Take an answer that another replica's has overtaken in part."""
     tree, copy = build()
     change(tree, 5, patches=patch("r1", None))
-    assert copy.take(whole(tree, 5))
+    assert copy.apply_reply(whole(tree, 5))
     change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(3)
     assert steps is not None
-    assert copy.take(FollowReply(None, None, True, 9, steps=steps))
+    assert copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
     assert copy.documents == tree.documents
 
 
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -11,7 +11,7 @@
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.discovery import Discovery
 from nutmegchute_core.endpoints import Endpoint
-from nutmegchute_core.evacuations import EvacuationNews
+from nutmegchute_core.evacuations import EvacuationUpdate
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.registries import CHANGED
 from nutmegchute_core.registries import Registry
@@ -279,9 +279,9 @@
     balancer = entry_of(135)
     known = [endpoint(number, 0.0) for number in range(1, 13)]
     balancer.update_upstreams(known, 5.0)
-    balancer.apply_evacuations(EvacuationNews(1, [ZONES[0]]), 6.0)
+    balancer.apply_evacuations(EvacuationUpdate(1, [ZONES[0]]), 6.0)
     assert not call(balancer, 7.0)
-    balancer.apply_evacuations(EvacuationNews(2, []), 8.0)
+    balancer.apply_evacuations(EvacuationUpdate(2, []), 8.0)
     reached = []
     for number in range(50):
         reached += call(balancer, 8.0 + number * 0.01)
