--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -33,7 +33,7 @@
 from nutmegchute_core.calls import Finish
 from nutmegchute_core.calls import NOT_RUN
 from nutmegchute_core.calls import Refuse
-from nutmegchute_core.demands import Shares
+from nutmegchute_core.demands import ProbeShare
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.policies import Policy
 from nutmegchute_core.routes import Route
@@ -593,9 +593,9 @@
         balancer.configure({SERVICE: Service(SERVICE, document)}, 0.0)
         limit = ExtraLimit(EXTRA_RATIO, EXTRA_FIXED)
         balancer.limit_extra(limit.share, limit.burst(len(weights)))
-        shares = Shares()
-        shares.told = weights[entry]
-        shares.hear(1.0, len(weights))
+        shares = ProbeShare()
+        shares.reported = weights[entry]
+        shares.set_total(1.0, len(weights))
         balancer.limit_inquiries(PROBES_PER_S, shares.share(len(weights)))
         deciders.append(balancer)
     return deciders
--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from .histories import Delta
-from .histories import ENDED_KEPT_S
-from .histories import MOST_ENDED
+from .histories import MAX_TOMBSTONES
+from .histories import TOMBSTONE_TTL_S
 from .members import Announcement
 from .members import DRAINING
 from .members import Key
@@ -75,7 +75,7 @@
         """Tell whether any replica has told its endpoints."""
         return any(one.generation for one in self._sources.values())
 
-    def mark(self, replica: str) -> tuple[int, int]:
+    def watermark(self, replica: str) -> tuple[int, int]:
         """Give the epoch and generation held of a replica."""
         source = self._sources.get(replica)
         if source is None:
@@ -83,9 +83,9 @@
         return source.epoch, source.generation
 
     @property
-    def marks(self) -> dict[str, tuple[int, int]]:
+    def watermarks(self) -> dict[str, tuple[int, int]]:
         """Map the replicas to the epoch and generation held of each."""
-        return {replica: self.mark(replica) for replica in self._sources}
+        return {replica: self.watermark(replica) for replica in self._sources}
 
     def vouch(self, silent: list[str], now: float) -> bool:
         """Take word that all replicas but the silent ones are heard.
@@ -101,7 +101,7 @@
         """Take a replica's word; return whether something changed."""
         source = self._sources.setdefault(replica, Source())
         source.heard_at = now
-        if delta.base and (delta.epoch, delta.base) != self.mark(replica):
+        if delta.base and (delta.epoch, delta.base) != self.watermark(replica):
             # It leads on from another generation; asking again gives all.
             source.generation = 0
             return False
@@ -229,7 +229,7 @@
         source.processes[process] = announcement
 
     def _forget_orders(self) -> None:
-        if len(self._order) <= MOST_ENDED:
+        if len(self._order) <= MAX_TOMBSTONES:
             return
         vouched = {one.process for one in self._vouched()}
         self._order = {
@@ -251,6 +251,6 @@
     kept.setdefault(process, now)
     while kept:
         oldest, at = next(iter(kept.items()))
-        if now - at <= ENDED_KEPT_S and len(kept) <= MOST_ENDED:
+        if now - at <= TOMBSTONE_TTL_S and len(kept) <= MAX_TOMBSTONES:
             return
         del kept[oldest]
--- a/packages/core/nutmegchute_core/demands.py
+++ b/packages/core/nutmegchute_core/demands.py
@@ -9,14 +9,14 @@
 
 # How far back calls count: a burst shows within seconds, and the rate of an
 # entry with few calls is still a rate.
-KEPT_S = 3.0
+RATE_WINDOW_S = 3.0
 # Of the questions this much is divided equally: an entry that has had no
 # calls yet must be able to ask for its first ones. What an entry told is a
 # question's hold old at most.
 EQUAL_SHARE = 0.2
 
 
-class Rate:
+class CallRate:
     """Follow how many calls a second come; older ones fade."""
 
     __slots__ = ("_at", "_sum")
@@ -33,14 +33,14 @@
     def per_s(self, now: float) -> float:
         """Give the calls a second."""
         self._fade(now)
-        return self._sum / KEPT_S
+        return self._sum / RATE_WINDOW_S
 
     def _fade(self, now: float) -> None:
-        self._sum *= exp((self._at - now) / KEPT_S)
+        self._sum *= exp((self._at - now) / RATE_WINDOW_S)
         self._at = now
 
 
-class Shares:
+class ProbeShare:
     """Say, on an entry, which share of the questions is its own.
 
     Control replicas add up what entries tell of their calls. The share
@@ -53,16 +53,16 @@
     questions; entries not in it are held to have as many calls as others.
     """
 
-    __slots__ = ("_counted", "_total", "told")
+    __slots__ = ("_counted", "_total", "reported")
 
     def __init__(self) -> None:
         # Calls a second, as told last.
-        self.told = 0.0
+        self.reported = 0.0
         self._total = 0.0
         # How many entries are in the sum.
         self._counted = 1
 
-    def hear(self, total: float, entries: int) -> None:
+    def set_total(self, total: float, entries: int) -> None:
         """Take the calls a second that the replica has heard of in all."""
         self._total = total
         self._counted = max(1, entries)
@@ -71,7 +71,7 @@
         """Give this entry's share of the questions, from 0 to 1."""
         equal = 1.0 / max(1, entries)
         total = self._total * max(1.0, entries / self._counted)
-        if total <= 0.0 or self.told > total:
+        if total <= 0.0 or self.reported > total:
             return equal
-        own = self.told / total
+        own = self.reported / total
         return EQUAL_SHARE * equal + (1.0 - EQUAL_SHARE) * own
--- a/packages/core/nutmegchute_core/histories.py
+++ b/packages/core/nutmegchute_core/histories.py
@@ -10,8 +10,8 @@
 # How long the end of a process is remembered, so that a heartbeat of it that
 # was under way meanwhile does not bring it back. A partition holds heartbeats
 # back for as long as it lasts and TCP goes on trying for a minute.
-ENDED_KEPT_S = 120.0
-MOST_ENDED = 8192
+TOMBSTONE_TTL_S = 120.0
+MAX_TOMBSTONES = 8192
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
@@ -30,7 +30,7 @@
     lapsed: list[Process] = []
 
 
-class Removal:
+class Tombstone:
     """Hold when and in which generation a process went."""
 
     __slots__ = ("at", "ended", "generation")
@@ -41,7 +41,7 @@
         self.ended = ended
 
 
-class Lead:
+class ProcessChanges:
     """Name what leads from generation ``base`` to the newest one.
 
     A base of 0 means that ``changed`` names all there is.
@@ -59,13 +59,13 @@
 class History:
     """Know the generation in which each process came, changed or went."""
 
-    __slots__ = ("_changes", "_forgotten", "_removals")
+    __slots__ = ("_changes", "_pruned_to", "_removals")
 
-    def __init__(self, forgotten: int) -> None:
+    def __init__(self, pruned_to: int) -> None:
         # Removals up to this generation are not known any more.
-        self._forgotten = forgotten
+        self._pruned_to = pruned_to
         self._changes: dict[Process, int] = {}
-        self._removals: OrderedDict[Process, Removal] = OrderedDict()
+        self._removals: OrderedDict[Process, Tombstone] = OrderedDict()
 
     def has_ended(self, process: Process) -> bool:
         """Tell whether a process is known to be gone for good."""
@@ -90,24 +90,24 @@
         """Note that a process went."""
         self._changes.pop(process, None)
         self._removals.pop(process, None)
-        self._removals[process] = Removal(now, generation, ended)
+        self._removals[process] = Tombstone(now, generation, ended)
 
-    def forget(self, now: float, most: int) -> list[Process]:
+    def prune(self, now: float, most: int) -> list[Process]:
         """Drop old removals; return whose."""
         dropped = []
         while self._removals:
             process, removal = next(iter(self._removals.items()))
-            young = now - removal.at <= ENDED_KEPT_S
+            young = now - removal.at <= TOMBSTONE_TTL_S
             if young and len(self._removals) <= most:
                 break
             del self._removals[process]
-            self._forgotten = max(self._forgotten, removal.generation)
+            self._pruned_to = max(self._pruned_to, removal.generation)
             dropped.append(process)
         return dropped
 
-    def since(self, base: int) -> Lead:
+    def since(self, base: int) -> ProcessChanges:
         """Name what changed since a generation."""
-        lead = Lead(0 if base < self._forgotten else base)
+        lead = ProcessChanges(0 if base < self._pruned_to else base)
         for process, generation in self._changes.items():
             if generation > lead.base:
                 lead.changed.append(process)
--- a/packages/core/nutmegchute_core/members.py
+++ b/packages/core/nutmegchute_core/members.py
@@ -10,12 +10,12 @@
 DRAINING = "draining"
 
 LEASE_S = 3.0
-VOUCH_S = 2.5
+GOSSIP_LEASE_S = 2.5
 
 MAX_CHANGES = 256
 
 # No endpoint is slow for longer after its start; a larger figure is wrong.
-MOST_COLD_S = 3600.0
+MAX_COLD_S = 3600.0
 
 
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
@@ -47,7 +47,7 @@
     incarnation: Annotated[int, msgspec.Meta(ge=0, le=2**62)]
     state: Annotated[str, msgspec.Meta(pattern="^(up|draining)$")] = UP
     instance: Annotated[str, msgspec.Meta(max_length=128)] = ""
-    cold_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_COLD_S)] = 0.0
+    cold_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_S)] = 0.0
 
     @property
     def key(self) -> Key:
@@ -60,7 +60,7 @@
         return (self.instance, self.incarnation)
 
 
-class Vouch(msgspec.Struct, frozen=True, array_like=True):
+class GossipMessage(msgspec.Struct, frozen=True, array_like=True):
     """Say which state of its own set an entry vouches for.
 
     ``changed`` and ``removed`` lead from generation ``base`` (0: from
@@ -76,10 +76,10 @@
     base: int
     changed: list[Announcement]
     removed: list[Key]
-    mark: int
-    echo: int
-    seen_epoch: int
-    seen_generation: int
+    sequence: int
+    acknowledged: int
+    received_epoch: int
+    received_generation: int
 
 
 class Changes:
@@ -102,17 +102,17 @@
         "_changes",
         "_digest",
         "_epoch",
-        "_forgotten",
+        "_pruned_to",
         "_generation",
-        "_heard",
+        "_leases",
     )
 
     def __init__(self, epoch: int) -> None:
         self._epoch = epoch
         self._generation = 1
-        self._forgotten = 1
+        self._pruned_to = 1
         self._digest = 0
-        self._heard: dict[Key, tuple[Announcement, float]] = {}
+        self._leases: dict[Key, tuple[Announcement, float]] = {}
         self._changes: OrderedDict[Key, int] = OrderedDict()
 
     @property
@@ -132,21 +132,21 @@
 
     def __len__(self) -> int:
         """Count the endpoints."""
-        return len(self._heard)
+        return len(self._leases)
 
     def get(self, key: Key) -> Announcement | None:
         """Return the newest announcement of an endpoint, if any."""
-        known = self._heard.get(key)
+        known = self._leases.get(key)
         return known[0] if known is not None else None
 
     def announcements(self) -> list[Announcement]:
         """List what the endpoints announced."""
-        return [announcement for announcement, _ in self._heard.values()]
+        return [announcement for announcement, _ in self._leases.values()]
 
     def put(self, announcement: Announcement, now: float) -> bool:
         """Renew a lease; return whether the set changed."""
         old = self.get(announcement.key)
-        self._heard[announcement.key] = (announcement, now)
+        self._leases[announcement.key] = (announcement, now)
         if old == announcement:
             return False
         if old is not None:
@@ -157,7 +157,7 @@
 
     def remove(self, key: Key) -> None:
         """Take an endpoint out of the set."""
-        announcement, _ = self._heard.pop(key)
+        announcement, _ = self._leases.pop(key)
         self._digest ^= digest_of(announcement)
         self._note(key)
 
@@ -165,13 +165,13 @@
         """List the endpoints whose lease ran out."""
         return [
             key
-            for key, (_, heard_at) in self._heard.items()
+            for key, (_, heard_at) in self._leases.items()
             if now - heard_at > LEASE_S
         ]
 
     def since(self, base: int) -> Changes | None:
         """Give what changed after a generation; None: no longer known."""
-        if base < self._forgotten:
+        if base < self._pruned_to:
             return None
         changed: list[Announcement] = []
         removed: list[Key] = []
@@ -190,54 +190,56 @@
         self._changes.pop(key, None)
         self._changes[key] = self._generation
         if len(self._changes) > MAX_CHANGES:
-            _, self._forgotten = self._changes.popitem(last=False)
+            _, self._pruned_to = self._changes.popitem(last=False)
 
 
 class PeerSet:
     """Hold what another entry vouches for, and since when."""
 
     __slots__ = (
-        "dated_at",
+        "valid_at",
         "digest",
-        "echo",
-        "echo_epoch",
+        "acknowledged",
+        "acknowledged_epoch",
         "epoch",
         "generation",
-        "heard",
-        "marks",
-        "seen",
+        "announcements_by_key",
+        "sent_at",
+        "received",
     )
 
     def __init__(self) -> None:
         self.epoch = 0
         self.generation = 0
         self.digest = 0
-        self.heard: dict[Key, Announcement] = {}
-        self.dated_at: float | None = None
-        self.marks: OrderedDict[int, float] = OrderedDict()
-        self.echo = 0
-        self.echo_epoch = 0
-        self.seen = (0, 0)
-
-    def fresh(self, now: float) -> bool:
+        self.announcements_by_key: dict[Key, Announcement] = {}
+        self.valid_at: float | None = None
+        self.sent_at: OrderedDict[int, float] = OrderedDict()
+        self.acknowledged = 0
+        self.acknowledged_epoch = 0
+        self.received = (0, 0)
+
+    def is_fresh(self, now: float) -> bool:
         """Tell whether the vouch still stands."""
-        return self.dated_at is not None and now - self.dated_at <= VOUCH_S
+        return (
+            self.valid_at is not None and now - self.valid_at <= GOSSIP_LEASE_S
+        )
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop the set; the next word brings it whole."""
         self.generation = 0
         self.digest = 0
-        self.heard = {}
+        self.announcements_by_key = {}
 
     def put(self, announcement: Announcement) -> None:
         """Take an announcement in place of the one known."""
         self.remove(announcement.key)
-        self.heard[announcement.key] = announcement
+        self.announcements_by_key[announcement.key] = announcement
         self.digest ^= digest_of(announcement)
 
     def remove(self, key: Key) -> None:
         """Take an endpoint out of the set, if it is there."""
-        old = self.heard.pop(key, None)
+        old = self.announcements_by_key.pop(key, None)
         if old is not None:
             self.digest ^= digest_of(old)
 
--- a/packages/core/nutmegchute_core/mirrors.py
+++ b/packages/core/nutmegchute_core/mirrors.py
@@ -4,13 +4,13 @@
 
 from .histories import Delta
 from .histories import History
-from .histories import MOST_ENDED
+from .histories import MAX_TOMBSTONES
 from .members import Announcement
 from .members import Process
 
 # What of a registry is known: its epoch and the generation.
-Mark = tuple[int, int]
-NOTHING: Mark = (0, 0)
+Watermark = tuple[int, int]
+NO_WATERMARK: Watermark = (0, 0)
 
 
 class MirroredRecord:
@@ -39,13 +39,13 @@
         self._records: dict[Process, MirroredRecord] = {}
 
     @property
-    def mark(self) -> Mark:
+    def watermark(self) -> Watermark:
         """Give the epoch and generation that are held."""
         return self._epoch, self._generation
 
-    def take(self, delta: Delta, now: float) -> bool:
+    def apply(self, delta: Delta, now: float) -> bool:
         """Take what the registry told; return whether it fits."""
-        if delta.base and (delta.epoch, delta.base) != self.mark:
+        if delta.base and (delta.epoch, delta.base) != self.watermark:
             # It leads on from another generation; asking again gives all.
             self._generation = 0
             return False
@@ -62,22 +62,22 @@
             self._remove(process, now, True)
         for process in delta.lapsed:
             self._remove(process, now, False)
-        self._history.forget(now, MOST_ENDED)
+        self._history.prune(now, MAX_TOMBSTONES)
         return True
 
-    def is_news(self, mark: Mark) -> bool:
+    def is_ahead_of(self, watermark: Watermark) -> bool:
         """Tell whether an entry that holds a mark lacks something.
 
         One that was told by another replica may be ahead.
         """
-        epoch, generation = mark
+        epoch, generation = watermark
         if self._generation == 0:
             return False
         return epoch != self._epoch or generation < self._generation
 
-    def since(self, mark: Mark, now: float) -> Delta:
+    def since(self, watermark: Watermark, now: float) -> Delta:
         """Tell what changed since a mark."""
-        epoch, generation = mark
+        epoch, generation = watermark
         lead = self._history.since(generation if epoch == self._epoch else 0)
         present = []
         for process in lead.changed:
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -8,21 +8,21 @@
 
 from .directories import EntryInfo
 from .histories import Delta
-from .mirrors import Mark
 from .mirrors import Mirror
-from .sessions import COUNTED_S
+from .mirrors import Watermark
+from .sessions import ENTRY_TTL_S
 from .sessions import EntryState
 
 # How long a question between replicas is held when there is nothing new.
 PEER_HOLD_S = 1.0
 # A replica that answered within this time is heard: a hold, a busy replica
 # and one try more.
-LIVE_S = 2.0
+REACHABLE_S = 2.0
 # A replica silent for so long has no entries any more. It was alive a hold
 # before at the most, and its entries gave it up within 1.4 s of its end.
-SILENT_S = 3.0
+GONE_AFTER_S = 3.0
 # What a silent replica told is passed on for so long; entries drop it then.
-TOLD_S = 10.0
+MIRROR_TTL_S = 10.0
 # Longer between two looks means that this replica stood still.
 PAUSE_S = 1.0
 
@@ -37,10 +37,10 @@
     """
 
     replica: str
-    mark: Mark
+    watermark: Watermark
     sessions: int
     confirm: int
-    hears: list[str]
+    reachable: list[str]
     applied: int
     hold_s: float
 
@@ -60,7 +60,7 @@
     confirm: int
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class Confirmation(msgspec.Struct, frozen=True, array_like=True):
     """Say that all entries of a replica have seen a generation.
 
     ``epoch`` and ``generation`` are those of the receiver's registry.
@@ -71,11 +71,11 @@
     generation: int
 
 
-class Done(msgspec.Struct, frozen=True, array_like=True):
+class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
     """Say that a message has arrived."""
 
 
-class KnownEntry:
+class PeerEntry:
     """Hold what another replica told of an entry, and when."""
 
     __slots__ = ("at", "state")
@@ -96,20 +96,20 @@
         "confirmed",
         "entries",
         "heard_at",
-        "hears",
+        "reachable",
         "mirror",
-        "seen",
+        "seen_generation",
         "sessions",
     )
 
     def __init__(self, now: float) -> None:
         self.mirror = Mirror()
-        self.entries: dict[str, KnownEntry] = {}
+        self.entries: dict[str, PeerEntry] = {}
         self.sessions = 0
         # Any message of it counts; it may be heard and not hear.
         self.heard_at = now
         self.answered_at: float | None = None
-        self.hears: frozenset[str] = frozenset()
+        self.reachable: frozenset[str] = frozenset()
         self.applied: int | None = None
         self.calls_per_s = 0.0
         # The generation of its registry that it wants to be confirmed, and
@@ -117,7 +117,7 @@
         self.confirm = 0
         self.confirmed = 0
         # The generation of our registry that its entries have seen.
-        self.seen = 0
+        self.seen_generation = 0
 
 
 class Peers:
@@ -152,7 +152,7 @@
             if address not in addresses and self._is_gone(address, now):
                 del self._peers[address]
 
-    def look(self, now: float) -> bool:
+    def detect_pause(self, now: float) -> bool:
         """Tell whether this replica stood still since it looked last.
 
         Every other one seems silent then, and its entries would be passed
@@ -166,25 +166,29 @@
                 peer.answered_at = None
         return paused
 
-    def hear(self, request: PeerRequest, now: float) -> None:
+    def record_request(self, request: PeerRequest, now: float) -> None:
         """Take another replica's question."""
         peer = self._peers.get(request.replica)
         if peer is None:
             # A member that this replica has not read of yet.
             peer = self._peers[request.replica] = Peer(now)
         peer.heard_at = now
-        peer.hears = frozenset(request.hears)
+        peer.reachable = frozenset(request.reachable)
         peer.applied = request.applied
 
-    def hear_seen(self, seen: Seen, epoch: int, now: float) -> None:
+    def record_confirmation(
+        self, confirmation: Confirmation, epoch: int, now: float
+    ) -> None:
         """Take a confirmation; ``epoch`` is that of the own registry."""
-        peer = self._peers.get(seen.replica)
-        if peer is None or seen.epoch != epoch:
+        peer = self._peers.get(confirmation.replica)
+        if peer is None or confirmation.epoch != epoch:
             return
         peer.heard_at = now
-        peer.seen = max(peer.seen, seen.generation)
+        peer.seen_generation = max(
+            peer.seen_generation, confirmation.generation
+        )
 
-    def take(self, address: str, reply: PeerReply, now: float) -> bool:
+    def apply_reply(self, address: str, reply: PeerReply, now: float) -> bool:
         """Take an answer; return whether it is news for entries."""
         peer = self._peers.get(address)
         if peer is None:
@@ -192,44 +196,49 @@
         peer.heard_at = now
         peer.answered_at = now
         peer.calls_per_s = reply.calls_per_s
-        if reply.epoch != peer.mirror.mark[0]:
+        if reply.epoch != peer.mirror.watermark[0]:
             peer.confirmed = 0
             for known in peer.entries.values():
                 known.state = EntryState(known.state.info, False)
         peer.confirm = reply.confirm
         peer.sessions = reply.sessions
         for state in reply.entries:
-            peer.entries[state.info.name] = KnownEntry(state, now)
+            peer.entries[state.info.name] = PeerEntry(state, now)
         if reply.delta is None:
             return False
-        return peer.mirror.take(reply.delta, now)
+        return peer.mirror.apply(reply.delta, now)
 
     def expire(self, now: float) -> None:
         """Forget the entries that left long ago."""
         for peer in self._peers.values():
             for name, known in list(peer.entries.items()):
-                if known.state.attends and now - peer.heard_at <= COUNTED_S:
+                if (
+                    known.state.is_connected
+                    and now - peer.heard_at <= ENTRY_TTL_S
+                ):
                     continue
-                if now - known.at > COUNTED_S:
+                if now - known.at > ENTRY_TTL_S:
                     del peer.entries[name]
 
-    def behind(self, generation: int, now: float) -> list[str]:
+    def unconfirmed(self, generation: int, now: float) -> list[str]:
         """Name the replicas whose entries may not have seen a generation."""
         found = []
         for address, peer in self._peers.items():
-            if peer.seen < generation and not self._is_gone(address, now):
+            if peer.seen_generation < generation and not self._is_gone(
+                address, now
+            ):
                 found.append(address)
         return found
 
-    def heard(self, now: float) -> list[str]:
+    def reachable_replicas(self, now: float) -> list[str]:
         """List the replicas that are heard, be it one way."""
         found = []
         for address, peer in self._peers.items():
-            if now - peer.heard_at <= LIVE_S:
+            if now - peer.heard_at <= REACHABLE_S:
                 found.append(address)
         return found
 
-    def answering(self, now: float) -> list[str]:
+    def responsive_replicas(self, now: float) -> list[str]:
         """List the replicas that answer this one."""
         found = []
         for address, peer in self._peers.items():
@@ -237,7 +246,7 @@
                 found.append(address)
         return found
 
-    def answered(self, now: float) -> tuple[int, int]:
+    def count_answered(self, now: float) -> tuple[int, int]:
         """Count who answered since the last pause, and all that are there.
 
         One that was replaced and is still listed would be waited for as
@@ -257,36 +266,36 @@
         """Map the replicas that were heard lately to their mirrors."""
         found = {}
         for address, peer in self._peers.items():
-            if now - peer.heard_at <= TOLD_S:
+            if now - peer.heard_at <= MIRROR_TTL_S:
                 found[address] = peer.mirror
         return found
 
-    def attending(self, now: float) -> list[EntryInfo]:
+    def connected_entries(self, now: float) -> list[EntryInfo]:
         """List the entries that ask the replicas that answer."""
         found = []
         for peer in self._peers.values():
             if not _answers(peer, now):
                 continue
             for known in peer.entries.values():
-                if known.state.attends:
+                if known.state.is_connected:
                     found.append(known.state.info)
         return found
 
-    def names(self, now: float) -> set[str]:
+    def entry_names(self, now: float) -> set[str]:
         """Name the entries heard of lately."""
         found = set()
         for peer in self._peers.values():
             for name, known in peer.entries.items():
-                if known.state.attends or now - known.at <= COUNTED_S:
+                if known.state.is_connected or now - known.at <= ENTRY_TTL_S:
                     found.add(name)
         return found
 
-    def zones(self, now: float) -> dict[str, str]:
+    def entry_zones(self, now: float) -> dict[str, str]:
         """Map the entries heard of lately to their availability zones."""
         found = {}
         for peer in self._peers.values():
             for name, known in peer.entries.items():
-                if known.state.attends or now - known.at <= COUNTED_S:
+                if known.state.is_connected or now - known.at <= ENTRY_TTL_S:
                     found[name] = known.state.info.availability_zone
         return found
 
@@ -298,7 +307,7 @@
                 total += peer.calls_per_s
         return total
 
-    def lagging(self, index: int, now: float) -> bool:
+    def has_lagging_entry(self, index: int, now: float) -> bool:
         """Tell whether another replica's entries have an older tree."""
         for address, peer in self._peers.items():
             if self._is_gone(address, now) or peer.applied is None:
@@ -313,15 +322,17 @@
         One that is cut off from this replica alone may well have some;
         then others hear it, and this replica cannot speak for it.
         """
-        if now - self._peers[address].heard_at <= SILENT_S:
+        if now - self._peers[address].heard_at <= GONE_AFTER_S:
             return False
         for other, peer in self._peers.items():
-            if other == address or now - peer.heard_at > LIVE_S:
+            if other == address or now - peer.heard_at > REACHABLE_S:
                 continue
-            if address in peer.hears:
+            if address in peer.reachable:
                 return False
         return True
 
 
 def _answers(peer: Peer, now: float) -> bool:
-    return peer.answered_at is not None and now - peer.answered_at <= LIVE_S
+    return (
+        peer.answered_at is not None and now - peer.answered_at <= REACHABLE_S
+    )
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -8,7 +8,7 @@
 
 from .histories import Delta
 from .histories import History
-from .histories import MOST_ENDED
+from .histories import MAX_TOMBSTONES
 from .members import Announcement
 from .members import DRAINING
 from .members import Process
@@ -17,18 +17,18 @@
 # one that is silent for longer has crashed. Entries notice a crash by its
 # failures long before, so this need not be short.
 ENDPOINT_LEASE_S = 4.0
-MOST_INSTANCES = 4096
+MAX_INSTANCES = 4096
 
 # How long endpoints hold that were known before this replica started. Each
 # announces itself within that time, and an entry that started as well is not
 # relied on yet, so that one which left meanwhile gets no calls for long.
-RECALLED_S = 2.0
+RESTORED_TTL_S = 2.0
 
 # An endpoint that is cold for so much longer than it told has become cold
 # anew; a word that was late moves the end of its warm-up by less.
-COLDER_S = 0.5
+COLD_TOLERANCE_S = 0.5
 
-TAKEN = "taken"
+RENEWED = "taken"
 CHANGED = "changed"
 STALE = "stale"
 FULL = "full"
@@ -101,7 +101,7 @@
         """Give the latest process of an instance that was heard of."""
         return instance, self._latest.get(instance, 0)
 
-    def knows(self, process: Process) -> bool:
+    def is_registered(self, process: Process) -> bool:
         """Tell whether a process announces here."""
         return process in self._records
 
@@ -109,12 +109,12 @@
         """Give the generation in which a process changed or went last."""
         return self._history.changed_in(process)
 
-    def outdated(self, process: Process) -> bool:
+    def is_superseded(self, process: Process) -> bool:
         """Tell whether a later start of the instance is known."""
         instance, incarnation = process
         return incarnation < self._latest.get(instance, 0)
 
-    def take(
+    def register(
         self, announcement: Announcement, sequence: int, now: float
     ) -> str:
         """Take a process's word.
@@ -123,14 +123,14 @@
         FULL.
         """
         process = announcement.process
-        if self.outdated(process):
+        if self.is_superseded(process):
             return OUTDATED
         if self._history.has_ended(process):
             return STALE
         before = self._generation
         record = self._records.get(process)
         if record is None:
-            if len(self._records) >= MOST_INSTANCES:
+            if len(self._records) >= MAX_INSTANCES:
                 return FULL
             self._supersede(process, now)
             record = self._records[process] = Record(announcement)
@@ -146,28 +146,28 @@
                     announcement, state=DRAINING
                 )
             self._change(process)
-        elif announcement.cold_s > record.cold_s(now) + COLDER_S:
+        elif announcement.cold_s > record.cold_s(now) + COLD_TOLERANCE_S:
             self._change(process)
         record.announcement = announcement
         record.sequence = sequence
         record.heard_at = now
         record.cold_until = now + announcement.cold_s
-        return TAKEN if self._generation == before else CHANGED
+        return RENEWED if self._generation == before else CHANGED
 
-    def recall(self, announcement: Announcement, now: float) -> None:
+    def restore(self, announcement: Announcement, now: float) -> None:
         """Take an endpoint that was known before this replica started."""
-        if len(self._records) >= MOST_INSTANCES:
+        if len(self._records) >= MAX_INSTANCES:
             return
         process = announcement.process
         self._supersede(process, now)
         record = self._records[process] = Record(announcement)
-        record.heard_at = now + RECALLED_S - ENDPOINT_LEASE_S
+        record.heard_at = now + RESTORED_TTL_S - ENDPOINT_LEASE_S
         record.cold_until = now + announcement.cold_s
         self._change(process)
 
     def end(self, process: Process, now: float) -> bool:
         """Take a process's farewell; return whether it is news."""
-        if self.outdated(process):
+        if self.is_superseded(process):
             return False
         if self._history.has_ended(process):
             return False
@@ -187,7 +187,7 @@
             record = self._records[process]
             ended = record.announcement.state == DRAINING
             self._remove(process, now, ended)
-        for process in self._history.forget(now, MOST_ENDED):
+        for process in self._history.prune(now, MAX_TOMBSTONES):
             if self.latest(process[0]) == process:
                 self._latest.pop(process[0], None)
         return bool(silent)
--- a/packages/core/nutmegchute_core/replica_choosers.py
+++ b/packages/core/nutmegchute_core/replica_choosers.py
@@ -24,7 +24,7 @@
 
     __slots__ = (
         "_avoid",
-        "_home",
+        "_active",
         "_known",
         "_name",
         "_own",
@@ -41,12 +41,12 @@
         self._seeds = seeds
         self._known: list[ReplicaInfo] = []
         self._avoid: dict[str, float] = {}
-        self._home: str | None = None
+        self._active: str | None = None
 
     @property
-    def home(self) -> str | None:
+    def active(self) -> str | None:
         """Give the replica that answered last and is in contact."""
-        return self._home
+        return self._active
 
     @property
     def addresses(self) -> list[str]:
@@ -62,7 +62,7 @@
             key=lambda one: (zones[one] != self._zone, self._rank(one)),
         )
 
-    def seed(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Take other seeds, from settings that have changed."""
         self._seeds = seeds
         # Those known may all be gone by now; the seeds know the others.
@@ -74,8 +74,8 @@
     def update(self, replicas: list[ReplicaInfo]) -> None:
         """Take the replicas that the group consists of now."""
         self._known = replicas
-        if self._home not in self.addresses:
-            self._home = None
+        if self._active not in self.addresses:
+            self._active = None
         for address in list(self._avoid):
             if address not in self.addresses:
                 del self._avoid[address]
@@ -88,7 +88,7 @@
         """
         best: str | None = None
         for address in self.addresses:
-            if address == self._home:
+            if address == self._active:
                 return address
             until = self._avoid.get(address, 0.0)
             if until <= now:
@@ -98,22 +98,22 @@
         assert best is not None
         return best
 
-    def answered(self, address: str, current: bool, now: float) -> None:
+    def record_answer(self, address: str, current: bool, now: float) -> None:
         """Take word that a replica answered, and whether in contact."""
         if current:
             self._avoid.pop(address, None)
-            self._home = address
+            self._active = address
             return
         self._drop(address, now)
 
-    def failed(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Take word that a replica did not answer."""
         self._drop(address, now)
 
     def _drop(self, address: str, now: float) -> None:
         self._avoid[address] = now + AVOID_S
-        if self._home == address:
-            self._home = None
+        if self._active == address:
+            self._active = None
 
     def _likeness(self, address: str) -> int:
         """Count the leading numbers that an address shares with the own."""
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -14,10 +14,10 @@
 from .members import Announcement
 from .members import Changes
 from .members import DRAINING
+from .members import GossipMessage
 from .members import Key
 from .members import OwnSet
 from .members import PeerSet
-from .members import Vouch
 
 FLOOR_S = 60.0
 PAUSE_S = 1.0
@@ -28,7 +28,7 @@
 MAX_FLOORS = 8192
 MAX_MARKS = 16
 
-TAKEN = "taken"
+RENEWED = "taken"
 CHANGED = "changed"
 STALE = "stale"
 FULL = "full"
@@ -57,21 +57,21 @@
     __slots__ = (
         "_drains",
         "_floors",
-        "_mark",
+        "_sequence",
         "_own",
         "_peers",
         "_quiet_until",
-        "_seen",
+        "_checked_at",
     )
 
     def __init__(self, epoch: int) -> None:
         self._own = OwnSet(epoch)
-        self._mark = epoch
+        self._sequence = epoch
         self._peers: dict[str, PeerSet] = {}
         self._floors: OrderedDict[Key, Floor] = OrderedDict()
         self._drains = 0
         self._quiet_until = 0.0
-        self._seen: float | None = None
+        self._checked_at: float | None = None
 
     @property
     def generation(self) -> int:
@@ -89,7 +89,7 @@
         Return TAKEN, CHANGED, STALE (a newer incarnation is known), FULL
         or PAUSED (announce again in QUIET_S).
         """
-        self._watch(now)
+        self._detect_pause(now)
         if now < self._quiet_until:
             return PAUSED
         key = announcement.key
@@ -100,17 +100,17 @@
             return FULL
         self._raise_floor(announcement, now)
         changed = self._own.put(self._settle(announcement), now)
-        return CHANGED if changed else TAKEN
+        return CHANGED if changed else RENEWED
 
     def expire(self, now: float) -> bool:
         """Drop what lapsed; return whether this entry's own set changed."""
-        self._watch(now)
+        self._detect_pause(now)
         lapsed = self._own.lapsed(now)
         for key in lapsed:
             self._own.remove(key)
         for peer in self._peers.values():
-            if not peer.fresh(now):
-                peer.forget()
+            if not peer.is_fresh(now):
+                peer.clear()
         while self._floors:
             key, floor = next(iter(self._floors.items()))
             if now - floor.heard_at <= FLOOR_S:
@@ -118,33 +118,35 @@
             del self._floors[key]
         return bool(lapsed)
 
-    def vouch(self, peer_name: str, now: float) -> Vouch:
+    def build_message(self, peer_name: str, now: float) -> GossipMessage:
         """Build the word for another entry."""
         self.expire(now)
         peer = self._peer(peer_name)
         changes = Changes(self._own.generation, [], [])
-        if peer is not None and peer.echo:
+        if peer is not None and peer.acknowledged:
             changes = self._changes_for(peer)
-        self._mark += 1
-        vouch = Vouch(
+        self._sequence += 1
+        build_message = GossipMessage(
             epoch=self._own.epoch,
             generation=self._own.generation,
             digest=self._own.digest,
             base=changes.base,
             changed=changes.changed,
             removed=changes.removed,
-            mark=self._mark,
-            echo=peer.echo if peer is not None else 0,
-            seen_epoch=peer.epoch if peer is not None else 0,
-            seen_generation=peer.generation if peer is not None else 0,
+            sequence=self._sequence,
+            acknowledged=peer.acknowledged if peer is not None else 0,
+            received_epoch=peer.epoch if peer is not None else 0,
+            received_generation=peer.generation if peer is not None else 0,
         )
         if peer is not None:
-            peer.marks[vouch.mark] = now
-            if len(peer.marks) > MAX_MARKS:
-                peer.marks.popitem(last=False)
-        return vouch
-
-    def hear(self, name: str, vouch: Vouch, now: float) -> float | None:
+            peer.sent_at[build_message.sequence] = now
+            if len(peer.sent_at) > MAX_MARKS:
+                peer.sent_at.popitem(last=False)
+        return build_message
+
+    def receive(
+        self, name: str, build_message: GossipMessage, now: float
+    ) -> float | None:
         """Take another entry's word.
 
         Return when it was true at the latest by this entry's clock, None
@@ -153,21 +155,27 @@
         peer = self._peer(name)
         if peer is None:
             return None
-        if vouch.epoch != peer.echo_epoch or vouch.mark > peer.echo:
-            peer.echo = vouch.mark
-            peer.echo_epoch = vouch.epoch
-            peer.seen = (vouch.seen_epoch, vouch.seen_generation)
-        dated_at = peer.marks.get(vouch.echo)
+        if (
+            build_message.epoch != peer.acknowledged_epoch
+            or build_message.sequence > peer.acknowledged
+        ):
+            peer.acknowledged = build_message.sequence
+            peer.acknowledged_epoch = build_message.epoch
+            peer.received = (
+                build_message.received_epoch,
+                build_message.received_generation,
+            )
+        valid_at = peer.sent_at.get(build_message.acknowledged)
         # A word that answers none of ours may have been under way for any
         # time, or come from an earlier run of the entry: taken as new, it
         # would bring back endpoints that have left.
-        if dated_at is None:
+        if valid_at is None:
             return None
-        if peer.dated_at is not None and dated_at < peer.dated_at:
+        if peer.valid_at is not None and valid_at < peer.valid_at:
             return None
-        if self._merge(peer, vouch, now):
-            peer.dated_at = dated_at
-        return dated_at
+        if self._merge(peer, build_message, now):
+            peer.valid_at = valid_at
+        return valid_at
 
     def live(self, now: float) -> list[Announcement]:
         """List every endpoint someone vouches for, by service and address."""
@@ -175,9 +183,9 @@
         for announcement in self._own.announcements():
             found[announcement.key] = announcement
         for peer in self._peers.values():
-            if not peer.fresh(now):
+            if not peer.is_fresh(now):
                 continue
-            for key, announcement in peer.heard.items():
+            for key, announcement in peer.announcements_by_key.items():
                 old = found.get(key)
                 if old is None or _rank(old) < _rank(announcement):
                     found[key] = announcement
@@ -186,37 +194,39 @@
             listed.append(self._settle(found[key]))
         return listed
 
-    def stamp(self, now: float) -> tuple[object, ...]:
+    def version(self, now: float) -> tuple[object, ...]:
         """Give a value that differs whenever ``live`` does."""
         peers = []
         for name, peer in self._peers.items():
-            if peer.fresh(now):
+            if peer.is_fresh(now):
                 peers.append((name, peer.epoch, peer.generation))
         return self._own.generation, self._drains, tuple(peers)
 
-    def _merge(self, peer: PeerSet, vouch: Vouch, now: float) -> bool:
-        if vouch.epoch != peer.epoch:
-            peer.forget()
-            peer.epoch = vouch.epoch
-        if vouch.generation < peer.generation:
+    def _merge(
+        self, peer: PeerSet, build_message: GossipMessage, now: float
+    ) -> bool:
+        if build_message.epoch != peer.epoch:
+            peer.clear()
+            peer.epoch = build_message.epoch
+        if build_message.generation < peer.generation:
             return False
-        if vouch.base > peer.generation:
+        if build_message.base > peer.generation:
             return False
-        if vouch.base == 0:
-            peer.forget()
-        for key in vouch.removed:
+        if build_message.base == 0:
+            peer.clear()
+        for key in build_message.removed:
             peer.remove(key)
-        for announcement in vouch.changed:
+        for announcement in build_message.changed:
             peer.put(announcement)
             self._raise_floor(announcement, now)
-        peer.generation = vouch.generation
-        if peer.digest == vouch.digest:
+        peer.generation = build_message.generation
+        if peer.digest == build_message.digest:
             return True
-        peer.forget()
+        peer.clear()
         return False
 
     def _changes_for(self, peer: PeerSet) -> Changes:
-        epoch, generation = peer.seen
+        epoch, generation = peer.received
         if epoch == self._own.epoch and generation:
             changes = self._own.since(generation)
             if changes is not None:
@@ -253,13 +263,13 @@
         if len(self._floors) > MAX_FLOORS:
             self._floors.popitem(last=False)
 
-    def _watch(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         # A process that was stopped for a while wakes to announcements
         # that waited in its sockets. The endpoints that sent them may have
         # drained at another entry since; those that live announce again.
-        if self._seen is not None and now - self._seen > PAUSE_S:
+        if self._checked_at is not None and now - self._checked_at > PAUSE_S:
             self._quiet_until = now + QUIET_S
-        self._seen = now
+        self._checked_at = now
 
 
 def _rank(announcement: Announcement) -> tuple[int, bool]:
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -9,8 +9,8 @@
 from .evacuations import EvacuationUpdate
 from .fleets import FollowReply
 from .histories import Delta
-from .mirrors import Mark
-from .mirrors import NOTHING
+from .mirrors import NO_WATERMARK
+from .mirrors import Watermark
 from .quarantines import QuarantineUpdate
 from .warmups import EntryGroup
 
@@ -31,10 +31,10 @@
 ANSWERED_MARGIN_S = 0.5
 # How long an entry counts among those that share the extra sends. Too high
 # a count only leaves a part of the budget unused.
-COUNTED_S = 60.0
+ENTRY_TTL_S = 60.0
 # Fewer entries of a caller's availability zone than this are not named
 # alone: all its callers would depend on one process.
-LEAST_OF_ZONE = 2
+MIN_ZONE_ENTRIES = 2
 
 
 class ReplicaInfo(msgspec.Struct, frozen=True, array_like=True):
@@ -57,7 +57,7 @@
     """
 
     entry: EntryInfo
-    marks: dict[str, Mark]
+    watermarks: dict[str, Watermark]
     index: int
     members: int
     hold_s: float
@@ -87,7 +87,7 @@
     tree: FollowReply | None = None
     members: int = 0
     replicas: list[ReplicaInfo] | None = None
-    silent: list[str] = []
+    unreachable: list[str] = []
     calls_per_s: float = 0.0
     current: bool = True
     counted: bool = True
@@ -100,7 +100,7 @@
     """Describe an entry and whether it asks the replica that says so."""
 
     info: EntryInfo
-    attends: bool
+    is_connected: bool
 
 
 class EntrySession:
@@ -111,18 +111,18 @@
         "changed",
         "closed",
         "due_at",
-        "heard_at",
+        "requested_at",
         "held",
         "index",
-        "marks",
+        "watermarks",
         "info",
     )
 
     def __init__(self, info: EntryInfo) -> None:
         self.info = info
-        self.marks: dict[str, Mark] = {}
+        self.watermarks: dict[str, Watermark] = {}
         self.index = 0
-        self.heard_at = 0.0
+        self.requested_at = 0.0
         self.calls_per_s = 0.0
         # When it asks again at the latest.
         self.due_at = 0.0
@@ -132,14 +132,14 @@
         # of this one anew.
         self.changed = 0
 
-    def attends(self, now: float) -> bool:
+    def is_connected(self, now: float) -> bool:
         """Tell whether the entry is in touch."""
         return not self.closed and now <= self.due_at
 
-    def has_seen(self, replica: str, mark: Mark) -> bool:
+    def has_seen(self, replica: str, watermark: Watermark) -> bool:
         """Tell whether the entry knows a generation of a registry."""
-        epoch, generation = self.marks.get(replica, NOTHING)
-        return epoch == mark[0] and generation >= mark[1]
+        epoch, generation = self.watermarks.get(replica, NO_WATERMARK)
+        return epoch == watermark[0] and generation >= watermark[1]
 
 
 class EntrySessions:
@@ -156,10 +156,10 @@
         """Count the changes that other replicas are told, from 1."""
         return self._generation
 
-    def hear(
+    def record_request(
         self,
         info: EntryInfo,
-        marks: dict[str, Mark],
+        watermarks: dict[str, Watermark],
         index: int,
         hold_s: float,
         now: float,
@@ -172,15 +172,15 @@
         if session.closed or session.info != info:
             self._note(session)
         session.info = info
-        session.marks = marks
+        session.watermarks = watermarks
         session.index = index
-        session.heard_at = now
+        session.requested_at = now
         session.due_at = now + hold_s + SESSION_MARGIN_S
         session.calls_per_s = calls_per_s
         session.closed = False
         session.held = True
 
-    def answered(self, name: str, now: float) -> None:
+    def record_answer(self, name: str, now: float) -> None:
         """Take word that an entry's question got its answer."""
         session = self._sessions.get(name)
         if session is not None:
@@ -188,7 +188,7 @@
             session.due_at = min(session.due_at, due_at)
             session.held = False
 
-    def moved(self, name: str) -> None:
+    def release(self, name: str) -> None:
         """Take word that an entry asks another replica.
 
         It is not waited for here any more, unless it has come back.
@@ -208,9 +208,9 @@
         """Close the sessions of entries that are late; tell if any was."""
         before = self._generation
         for name, session in list(self._sessions.items()):
-            if not session.attends(now):
+            if not session.is_connected(now):
                 self.close(name)
-            if now - session.heard_at > COUNTED_S:
+            if now - session.requested_at > ENTRY_TTL_S:
                 del self._sessions[name]
         return self._generation != before
 
@@ -222,11 +222,15 @@
                 found.append(EntryState(session.info, not session.closed))
         return found
 
-    def behind(self, replica: str, mark: Mark, now: float) -> list[str]:
+    def unconfirmed(
+        self, replica: str, watermark: Watermark, now: float
+    ) -> list[str]:
         """Name the entries in touch that have not seen a generation."""
         found = []
         for name, session in self._sessions.items():
-            if session.attends(now) and not session.has_seen(replica, mark):
+            if session.is_connected(now) and not session.has_seen(
+                replica, watermark
+            ):
                 found.append(name)
         return found
 
@@ -234,7 +238,7 @@
         """Map the entries in touch to the tree each has in force."""
         found = {}
         for name, session in self._sessions.items():
-            if session.attends(now):
+            if session.is_connected(now):
                 found[name] = session.index
         return found
 
@@ -242,7 +246,7 @@
         """Name the entries heard of lately, rather too many than too few."""
         found = set()
         for name, session in self._sessions.items():
-            if now - session.heard_at <= COUNTED_S:
+            if now - session.requested_at <= ENTRY_TTL_S:
                 found.add(name)
         return found
 
@@ -250,7 +254,7 @@
         """Map the entries heard of lately to their availability zones."""
         found = {}
         for name, session in self._sessions.items():
-            if now - session.heard_at <= COUNTED_S:
+            if now - session.requested_at <= ENTRY_TTL_S:
                 found[name] = session.info.availability_zone
         return found
 
@@ -258,19 +262,19 @@
         """Add up what the entries in touch have to place."""
         total = 0.0
         for session in self._sessions.values():
-            if session.attends(now):
+            if session.is_connected(now):
                 total += session.calls_per_s
         return total
 
-    def any_open(self, now: float) -> bool:
+    def any_connected(self, now: float) -> bool:
         """Tell whether any entry is in touch."""
-        return any(one.attends(now) for one in self._sessions.values())
+        return any(one.is_connected(now) for one in self._sessions.values())
 
-    def attending(self, now: float) -> list[EntryInfo]:
+    def connected_entries(self, now: float) -> list[EntryInfo]:
         """List the entries in touch."""
         found = []
         for session in self._sessions.values():
-            if session.attends(now):
+            if session.is_connected(now):
                 found.append(session.info)
         return found
 
@@ -279,7 +283,7 @@
         session.changed = self._generation
 
 
-def choose_usable(
+def choose_entries(
     words: list[EntryInfo],
     zone: str | None,
     most: int,
@@ -296,7 +300,7 @@
     for info in exclude_evacuated(staying, evacuated):
         same = info.availability_zone == zone
         (near if same else others).append(info.address)
-    if len(near) >= LEAST_OF_ZONE:
+    if len(near) >= MIN_ZONE_ENTRIES:
         return _some(near, most, turn)
     return [*near, *_some(others, most - len(near), turn)]
 
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -7,7 +7,7 @@
 from nutmegchute_core.directories import Directory
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.members import Announcement
-from nutmegchute_core.members import Vouch
+from nutmegchute_core.members import GossipMessage
 from nutmegchute_core.rosters import Roster
 
 from .clocks import boot_time
@@ -30,7 +30,7 @@
     word: EntryInfo
     grpc_address: str
     demand: dict[str, float]
-    vouch: Vouch
+    vouch: GossipMessage
 
 
 EXCHANGE = Method("Membership", "Exchange", Gossip, Gossip)
@@ -97,7 +97,7 @@
     def refresh(self) -> None:
         """Report the live endpoints when they have changed."""
         now = boot_time()
-        stamp = self._members.stamp(now)
+        stamp = self._members.version(now)
         if stamp == self._stamp:
             return
         self._stamp = stamp
@@ -137,14 +137,14 @@
             word=self._directory.own,
             grpc_address=self._settings.grpc_address,
             demand=self._directory.demand(now),
-            vouch=self._members.vouch(peer_name, now),
+            vouch=self._members.build_message(peer_name, now),
         )
 
     def _hear(self, gossip: Gossip) -> None:
         now = boot_time()
         name = gossip.word.name
         self._names[gossip.grpc_address] = name
-        dated_at = self._members.hear(name, gossip.vouch, now)
+        dated_at = self._members.receive(name, gossip.vouch, now)
         if dated_at is None:
             # The other entry is new to this one, or the other way round:
             # only the next exchange can be dated, so it comes at once.
--- a/packages/daemon/nutmegchute_daemon/methods.py
+++ b/packages/daemon/nutmegchute_daemon/methods.py
@@ -7,10 +7,10 @@
 from nutmegchute_core.fleets import FollowReply
 from nutmegchute_core.fleets import FollowRequest
 from nutmegchute_core.fleets import RelayReply
-from nutmegchute_core.peers import Done
+from nutmegchute_core.peers import Acknowledgement
+from nutmegchute_core.peers import Confirmation
 from nutmegchute_core.peers import PeerReply
 from nutmegchute_core.peers import PeerRequest
-from nutmegchute_core.peers import Seen
 from nutmegchute_core.sessions import WatchReply
 from nutmegchute_core.sessions import WatchRequest
 
@@ -20,4 +20,4 @@
 RELAY = Method("Configuration", "Relay", FollowRequest, RelayReply)
 WATCH = Method("Endpoints", "Watch", WatchRequest, WatchReply)
 PEER = Method("Endpoints", "Peer", PeerRequest, PeerReply)
-SEEN = Method("Endpoints", "Seen", Seen, Done)
+SEEN = Method("Endpoints", "Seen", Confirmation, Acknowledgement)
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -3,8 +3,8 @@
 import asyncio
 from traceback import format_exc
 
+from nutmegchute_core.peers import Confirmation
 from nutmegchute_core.peers import PEER_HOLD_S
-from nutmegchute_core.peers import Seen
 
 from .clocks import boot_time
 from .events import Event
@@ -69,7 +69,7 @@
         failures = 0
         hold_s = 0.0
         while True:
-            request = self._registrar.discovery.question(
+            request = self._registrar.discovery.build_request(
                 address, hold_s, boot_time()
             )
             reply = None
@@ -100,7 +100,9 @@
 
     async def _confirm(self) -> None:
         while True:
-            found = self._registrar.discovery.confirmations(boot_time())
+            found = self._registrar.discovery.pending_confirmations(
+                boot_time()
+            )
             for address, seen in found.items():
                 sending = self._sending.get(address)
                 if sending is None or sending.done():
@@ -109,7 +111,7 @@
                     )
             await self._registrar.wait_seen(CONFIRM_TICK_S)
 
-    async def _send(self, address: str, seen: Seen) -> None:
+    async def _send(self, address: str, seen: Confirmation) -> None:
         done = await self._links.ask(address, SEEN, seen, SEEN_TIMEOUT_S)
         if done is not None:
-            self._registrar.discovery.confirmed(address, seen)
+            self._registrar.discovery.record_acknowledged(address, seen)
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -12,11 +12,11 @@
 from nutmegchute_core.members import DRAINING
 from nutmegchute_core.members import Process
 from nutmegchute_core.nodes import Node
-from nutmegchute_core.peers import Done
+from nutmegchute_core.peers import Acknowledgement
+from nutmegchute_core.peers import Confirmation
 from nutmegchute_core.peers import PEER_HOLD_S
 from nutmegchute_core.peers import PeerReply
 from nutmegchute_core.peers import PeerRequest
-from nutmegchute_core.peers import Seen
 from nutmegchute_core.registries import FOREIGN
 from nutmegchute_core.registries import FULL
 from nutmegchute_core.registries import OUTDATED
@@ -104,7 +104,7 @@
     @property
     def entries(self) -> int:
         """Count the entries heard of lately by any replica."""
-        return self._discovery.count(boot_time())
+        return self._discovery.count_entries(boot_time())
 
     def applied(self) -> dict[str, int]:
         """Map each entry that asks here to the tree it has in force."""
@@ -112,7 +112,7 @@
 
     def lagging(self, index: int) -> bool:
         """Tell whether an entry in touch has an older tree in force."""
-        return self._discovery.lagging(index, boot_time())
+        return self._discovery.has_lagging_entry(index, boot_time())
 
     def tell(self) -> None:
         """Wake the entries' questions: the tree or the group changed."""
@@ -124,7 +124,7 @@
         now = boot_time()
         self._refusals.tell(now)
         self._meet_replicas()
-        if self._discovery.peers.look(now):
+        if self._discovery.peers.detect_pause(now):
             log(Event.PAUSED, "warning")
         if self._discovery.expire(now):
             self._changes.notify(TELL_GAP_S)
@@ -150,7 +150,7 @@
         """Take the endpoints that were known before this start."""
         now = boot_time()
         for announcement in announcements:
-            self._discovery.registry.recall(announcement, now)
+            self._discovery.registry.restore(announcement, now)
 
     def note_refused(self, reason: str) -> None:
         """Count what cannot be taken for an endpoint's word."""
@@ -178,17 +178,20 @@
         :raises NotConfirmedError: ask another replica
         """
         now = boot_time()
-        if not self._in_contact() and not self._discovery.sessions.any_open(
-            now
+        if (
+            not self._in_contact()
+            and not self._discovery.sessions.any_connected(now)
         ):
             raise NotConfirmedError("neither replicas nor entries in reach")
-        known = self._discovery.registry.knows(announcement.process)
+        known = self._discovery.registry.is_registered(announcement.process)
         if not known and not self._declared(announcement.service):
             # Whoever wrote this is no endpoint of ours. Taken, it would end
             # the process that has this instance's name.
             raise self._refuse("service is not declared")
         before = self._discovery.registry.generation
-        outcome = self._discovery.registry.take(announcement, sequence, now)
+        outcome = self._discovery.registry.register(
+            announcement, sequence, now
+        )
         refusal = REFUSALS.get(outcome)
         if refusal is not None:
             raise self._refuse(refusal)
@@ -216,7 +219,7 @@
         process = self._discovery.registry.latest(instance)
         if incarnation is not None:
             process = (instance, incarnation)
-        if self._discovery.registry.outdated(process):
+        if self._discovery.registry.is_superseded(process):
             # Held up by a partition: the instance has started again.
             raise self._refuse(REFUSALS[OUTDATED])
         if self._discovery.registry.end(process, boot_time()):
@@ -239,7 +242,10 @@
         discovery = self._discovery
         # A replica that was replaced stays listed for a while. Endpoints
         # sent there would wait a second before each announcement arrives.
-        heard = {discovery.own, *discovery.peers.heard(boot_time())}
+        heard = {
+            discovery.own,
+            *discovery.peers.reachable_replicas(boot_time()),
+        }
         for member in node.replica.membership.members:
             if member.availability_zone != zone:
                 continue
@@ -251,7 +257,7 @@
         """Return the entries that a caller in a zone should use."""
         node = self._node()
         evacuated = () if node is None else node.machine.evacuations.zones
-        return self._discovery.usable(
+        return self._discovery.usable_entries(
             zone, MOST_ENTRIES, boot_time(), evacuated
         )
 
@@ -260,7 +266,7 @@
         discovery = self._discovery
         now = boot_time()
         known = discovery.sessions.generation
-        discovery.hear_entry(request, now)
+        discovery.record_watch(request, now)
         if discovery.sessions.generation != known:
             self._changes.notify(TELL_GAP_S)
         self._seen.notify()
@@ -277,28 +283,30 @@
             discovery.sessions.close(request.entry.name)
             self._changes.notify(TELL_GAP_S)
             raise
-        discovery.sessions.answered(request.entry.name, boot_time())
+        discovery.sessions.record_answer(request.entry.name, boot_time())
         return self._reply(request)
 
     async def peer(self, request: PeerRequest) -> PeerReply:
         """Answer another replica's question, at once where there is news."""
         discovery = self._discovery
         now = boot_time()
-        discovery.peers.hear(request, now)
+        discovery.peers.record_request(request, now)
         hold_until = now + min(PEER_HOLD_S, request.hold_s)
-        while self._changes.pending or not discovery.has_peer_news(request):
+        while self._changes.pending or not discovery.has_peer_changes(request):
             left_s = hold_until - boot_time()
             if left_s <= 0:
                 break
             await self._changes.wait(left_s)
-        return discovery.peer_reply(request, boot_time())
+        return discovery.build_reply(request, boot_time())
 
-    async def seen(self, seen: Seen) -> Done:
+    async def seen(self, seen: Confirmation) -> Acknowledgement:
         """Take another replica's confirmation."""
         discovery = self._discovery
-        discovery.peers.hear_seen(seen, discovery.registry.epoch, boot_time())
+        discovery.peers.record_confirmation(
+            seen, discovery.registry.epoch, boot_time()
+        )
         self._seen.notify()
-        return Done()
+        return Acknowledgement()
 
     def take(self, address: str, reply: PeerReply) -> None:
         """Take another replica's answer."""
@@ -306,7 +314,7 @@
         wanted = reply.confirm
         peer = discovery.peers.find(address)
         known = 0 if peer is None else peer.confirm
-        if discovery.take(address, reply, boot_time()):
+        if discovery.apply_reply(address, reply, boot_time()):
             urgent = wanted > known
             self._changes.notify(URGENT_GAP_S if urgent else TELL_GAP_S)
         self._seen.notify()
@@ -325,16 +333,16 @@
         """
         discovery = self._discovery
         generation = discovery.registry.changed_in(process)
-        discovery.want_confirmed(generation)
+        discovery.request_confirmation(generation)
         self._changes.notify(URGENT_GAP_S)
         give_up_at = boot_time() + CONFIRM_S
         while True:
             now = boot_time()
-            discovery.peers.look(now)
+            discovery.peers.detect_pause(now)
             if not self._in_contact():
                 # Entries on the other side of a cut know nothing of it.
                 raise NotConfirmedError("no majority of replicas in reach")
-            behind = discovery.behind(generation, now)
+            behind = discovery.unconfirmed(generation, now)
             if not behind:
                 return
             if now >= give_up_at:
@@ -352,12 +360,12 @@
         """Tell whether entries can rely on what this replica says."""
         if self._node() is None or not self._in_contact():
             return False
-        return self._discovery.caught_up(boot_time())
+        return self._discovery.is_caught_up(boot_time())
 
     def _has_news(self, request: WatchRequest) -> bool:
         if self._changes.pending:
             return False
-        if self._discovery.has_news(request, boot_time()):
+        if self._discovery.has_changes(request, boot_time()):
             return True
         node = self._node()
         if node is None or not self._in_contact():
@@ -406,10 +414,10 @@
             {} if refers else discovery.deltas(request, now),
             self.entries,
             members=request.members,
-            silent=discovery.silent(request, now),
+            unreachable=discovery.unreachable(request, now),
             calls_per_s=discovery.calls_per_s(now),
             current=self._is_current,
-            counted=discovery.settled(now),
+            counted=discovery.is_settled(now),
         )
         node = self._node()
         if node is None:
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -15,8 +15,8 @@
 from nutmegchute_core.calls import Reject
 from nutmegchute_core.calls import Result
 from nutmegchute_core.catalogs import Catalog
-from nutmegchute_core.demands import Rate
-from nutmegchute_core.demands import Shares
+from nutmegchute_core.demands import CallRate
+from nutmegchute_core.demands import ProbeShare
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import Process
@@ -91,8 +91,8 @@
         # extra sends: with the first replica's few, each would take the
         # whole budget for its own.
         self._counted = False
-        self._rate = Rate()
-        self._shares = Shares()
+        self._rate = CallRate()
+        self._shares = ProbeShare()
         self._leaving = False
         # A replica in contact with the others has told what it knows.
         self._in_touch = False
@@ -291,14 +291,14 @@
             self._settings.availability_zone,
             not self.ready,
         )
-        self._shares.told = round(self._rate.per_s(boot_time()), 1)
+        self._shares.reported = round(self._rate.per_s(boot_time()), 1)
         return WatchRequest(
             word,
-            self._catalog.marks,
+            self._catalog.watermarks,
             self._tree.index,
             self._members,
             hold_s,
-            self._shares.told,
+            self._shares.reported,
             self._balancer.quarantine_index,
             self._balancer.evacuations.index,
             self._balancer.warm_ups.digest,
@@ -326,7 +326,7 @@
             self._apply()
         if reply.quarantine is not None:
             self._dispatcher.apply_quarantine(reply.quarantine)
-        changed = self._catalog.vouch(reply.silent, boot_time())
+        changed = self._catalog.vouch(reply.unreachable, boot_time())
         for source, delta in reply.deltas.items():
             changed |= self._catalog.hear(source, delta, boot_time())
         if changed:
@@ -336,7 +336,7 @@
         self._release()
 
     def _count(self, reply: WatchReply) -> None:
-        self._shares.hear(reply.calls_per_s, reply.entries)
+        self._shares.set_total(reply.calls_per_s, reply.entries)
         self._entries = max(self._entries, reply.entries)
         self._counted |= reply.counted
         self._share_extra()
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -77,7 +77,7 @@
 
     def seed(self, seeds: list[str]) -> None:
         """Take other seeds, from settings that have changed."""
-        self._chooser.seed(seeds)
+        self._chooser.set_seeds(seeds)
 
     def update(self, replicas: list[ReplicaInfo]) -> None:
         """Take the replicas that the group consists of now."""
@@ -96,7 +96,7 @@
     async def _run(self) -> None:
         while True:
             address = self._chooser.choose(boot_time())
-            hold_s = WATCH_HOLD_S if address == self._chooser.home else 0.0
+            hold_s = WATCH_HOLD_S if address == self._chooser.active else 0.0
             reply = None
             if await self._connect(address):
                 reply = await self._ask(address, hold_s)
@@ -104,7 +104,7 @@
                 await self._fail(address)
                 continue
             self._reached = True
-            self._chooser.answered(address, reply.current, boot_time())
+            self._chooser.record_answer(address, reply.current, boot_time())
             self._report(address, lost=not reply.current)
             self._hear(address, reply)
             if reply.current:
@@ -115,10 +115,10 @@
 
     async def _fail(self, address: str) -> None:
         self._failures += 1
-        self._chooser.failed(address, boot_time())
+        self._chooser.record_failure(address, boot_time())
         self._report(address, lost=True)
         self._links.drop(address)
-        if self._chooser.home is None:
+        if self._chooser.active is None:
             await asyncio.sleep(self._pause_s())
 
     @property
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 from nutmegchute_core.members import DRAINING
 from nutmegchute_core.members import UP
 from nutmegchute_core.memberships import Member
-from nutmegchute_core.peers import SILENT_S
+from nutmegchute_core.peers import GONE_AFTER_S
 from nutmegchute_core.quarantines import Quarantine
 from nutmegchute_core.replica_choosers import ReplicaChooser
 from nutmegchute_core.sessions import WatchReply
@@ -152,7 +152,7 @@
     def question(self, hold_s: float) -> WatchRequest:
         """Build the question."""
         word = EntryInfo(self.name, f"{self.name}:80", self.zone)
-        marks = self.catalog.marks
+        marks = self.catalog.watermarks
         return WatchRequest(word, marks, self.index, self._members, hold_s)
 
     def hear(self, replica: str, reply: WatchReply) -> None:
@@ -164,7 +164,7 @@
         if reply.tree is not None:
             self.went_back |= reply.tree.index < self.index
             self.index = max(self.index, reply.tree.index)
-        self.catalog.vouch(reply.silent, now)
+        self.catalog.vouch(reply.unreachable, now)
         for source, delta in reply.deltas.items():
             self.catalog.hear(source, delta, now)
 
@@ -632,7 +632,7 @@
         nearest = asked.registrar.nearest
         assert nearest(zone) == world.members[1].http_address
         world.freeze(other.address)
-        await asyncio.sleep(SILENT_S)
+        await asyncio.sleep(GONE_AFTER_S)
         assert nearest(zone) is None
         own = world.members[0]
         assert nearest(own.availability_zone) == own.http_address
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -19,7 +19,7 @@
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.rules import read_services
-from nutmegchute_core.sessions import choose_usable
+from nutmegchute_core.sessions import choose_entries
 from support import rule
 from support import team
 
@@ -219,12 +219,12 @@
     ]
     near = {one.address for one in entries[:3]}
     far = {one.address for one in entries[3:]}
-    assert set(choose_usable(entries, NEAR, 4, 0)) == near
-    assert set(choose_usable(entries, NEAR, 4, 0, [NEAR])) == far
-    assert set(choose_usable(entries, FAR, 4, 0, [NEAR])) == far
-    assert set(choose_usable(entries, NEAR, 9, 0, [NEAR, FAR])) == near
+    assert set(choose_entries(entries, NEAR, 4, 0)) == near
+    assert set(choose_entries(entries, NEAR, 4, 0, [NEAR])) == far
+    assert set(choose_entries(entries, FAR, 4, 0, [NEAR])) == far
+    assert set(choose_entries(entries, NEAR, 9, 0, [NEAR, FAR])) == near
     left = [
         *entries[:3],
         *[msgspec.structs.replace(one, draining=True) for one in entries[3:]],
     ]
-    assert set(choose_usable(left, NEAR, 4, 0, [NEAR])) == near
+    assert set(choose_entries(left, NEAR, 4, 0, [NEAR])) == near
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,8 +4,8 @@
 import socket
 
 import pytest
-from nutmegchute_core.peers import Done
-from nutmegchute_core.peers import Seen
+from nutmegchute_core.peers import Acknowledgement
+from nutmegchute_core.peers import Confirmation
 from nutmegchute_daemon.links import Links
 from nutmegchute_daemon.methods import SEEN
 
@@ -19,21 +19,21 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def ask_and(cancel: bool) -> Done | None:
+async def ask_and(cancel: bool) -> Acknowledgement | None:
     """Ask, then drop the channel or cancel the asking task."""
     address = free_address()
     server, client = Links(), Links()
     asked = asyncio.Event()
 
-    async def hold(_: Seen) -> Done:
+    async def hold(_: Confirmation) -> Acknowledgement:
         asked.set()
         await asyncio.sleep(ANSWER_S)
-        return Done()
+        return Acknowledgement()
 
     server.serve(SEEN, hold)
     await server.start(address)
     asking = asyncio.ensure_future(
-        client.ask(address, SEEN, Seen("a", 1, 1), ANSWER_S)
+        client.ask(address, SEEN, Confirmation("a", 1, 1), ANSWER_S)
     )
     try:
         await asked.wait()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -2,9 +2,9 @@
 
 import msgspec
 from nutmegchute_core.discovery import Discovery
-from nutmegchute_core.peers import LIVE_S
+from nutmegchute_core.peers import GONE_AFTER_S
 from nutmegchute_core.peers import PeerReply
-from nutmegchute_core.peers import SILENT_S
+from nutmegchute_core.peers import REACHABLE_S
 
 OWN = "10.1.0.1:7000"
 OTHERS = ["10.1.0.2:7000", "10.1.0.3:7000", "10.1.0.4:7000"]
@@ -30,21 +30,21 @@
     lack what most know, and every call was refused.
     """
     discovery = start()
-    discovery.take(OTHERS[0], reply(), 0.1)
-    assert not discovery.caught_up(0.2)
-    now = SILENT_S + 0.2
-    discovery.take(OTHERS[0], reply(), now)
-    assert discovery.caught_up(now)
+    discovery.apply_reply(OTHERS[0], reply(), 0.1)
+    assert not discovery.is_caught_up(0.2)
+    now = GONE_AFTER_S + 0.2
+    discovery.apply_reply(OTHERS[0], reply(), now)
+    assert discovery.is_caught_up(now)
 
 
 def test_replica_that_another_one_hears_is_waited_for() -> None:
     """Count a replica that is cut off from this one alone."""
     discovery = start()
-    now = SILENT_S + LIVE_S
-    question = discovery.question(OTHERS[0], 1.0, 0.0)
+    now = GONE_AFTER_S + REACHABLE_S
+    request = discovery.build_request(OTHERS[0], 1.0, 0.0)
     heard = msgspec.structs.replace(
-        question, replica=OTHERS[0], hears=OTHERS[1:]
+        request, replica=OTHERS[0], reachable=OTHERS[1:]
     )
-    discovery.peers.hear(heard, now)
-    discovery.take(OTHERS[0], reply(), now)
-    assert not discovery.caught_up(now)
+    discovery.peers.record_request(heard, now)
+    discovery.apply_reply(OTHERS[0], reply(), now)
+    assert not discovery.is_caught_up(now)
--- a/tests/test_replica_choosers.py
+++ b/tests/test_replica_choosers.py
@@ -13,16 +13,16 @@
     """Know three replicas and ask the near one."""
     found = ReplicaChooser("r1", "surco", [FAR.address])
     assert found.choose(0.0) == FAR.address
-    found.answered(FAR.address, True, 0.0)
+    found.record_answer(FAR.address, True, 0.0)
     found.update([FAR, NEAR, OTHER])
     assert found.choose(0.0) == NEAR.address
-    found.answered(NEAR.address, True, 0.0)
+    found.record_answer(NEAR.address, True, 0.0)
     return found
 
 
 def test_replica_of_the_zone_is_asked_first() -> None:
     """Move to the replica of the own zone once it is known."""
-    assert at_home().home == NEAR.address
+    assert at_home().active == NEAR.address
 
 
 def test_seed_with_a_like_address_is_asked_first() -> None:
@@ -36,7 +36,7 @@
     for number in range(9):
         found = ReplicaChooser(f"r{number}", "surco", seeds, "10.2.0.77:7000")
         assert found.choose(0.0) == "10.2.0.4:7000"
-        found.failed("10.2.0.4:7000", 0.0)
+        found.record_failure("10.2.0.4:7000", 0.0)
         assert found.choose(0.0) in (seeds[0], seeds[2])
 
 
@@ -47,14 +47,14 @@
     endpoint that leaves is acknowledged two seconds later without them.
     """
     found = at_home()
-    found.failed(NEAR.address, 1.0)
-    assert found.home is None
+    found.record_failure(NEAR.address, 1.0)
+    assert found.active is None
     second = found.choose(1.0)
     assert second != NEAR.address
-    found.answered(second, True, 1.0)
+    found.record_answer(second, True, 1.0)
     assert found.choose(1.0 + AVOID_S / 2) == second
     assert found.choose(1.0 + AVOID_S) == NEAR.address
-    assert found.home == second
+    assert found.active == second
 
 
 def test_replica_out_of_contact_is_left() -> None:
@@ -64,8 +64,8 @@
     the newest configuration.
     """
     found = at_home()
-    found.answered(NEAR.address, False, 1.0)
-    assert found.home is None
+    found.record_answer(NEAR.address, False, 1.0)
+    assert found.active is None
     assert found.choose(1.0) != NEAR.address
 
 
@@ -75,7 +75,7 @@
     asked = []
     for number in range(6):
         address = found.choose(1.0 + number / 10)
-        found.failed(address, 1.0 + number / 10)
+        found.record_failure(address, 1.0 + number / 10)
         asked.append(address)
     assert asked[:3] == asked[3:]
     assert len(set(asked)) == 3
@@ -97,12 +97,12 @@
     """Forget a home that does not belong to the group any more."""
     found = at_home()
     found.update([FAR, OTHER])
-    assert found.home is None
+    assert found.active is None
     assert found.choose(1.0) != NEAR.address
 
 
 def test_other_seeds_are_tried_beside_the_replicas_known() -> None:
     """Find a group that was replaced while this entry was cut off."""
     found = at_home()
-    found.seed(["10.9.0.1:7000"])
+    found.set_seeds(["10.9.0.1:7000"])
     assert "10.9.0.1:7000" in found.addresses
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -11,11 +11,11 @@
 from hypothesis.stateful import RuleBasedStateMachine
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import DRAINING
+from nutmegchute_core.members import GOSSIP_LEASE_S
+from nutmegchute_core.members import GossipMessage
 from nutmegchute_core.members import LEASE_S
 from nutmegchute_core.members import MAX_CHANGES
 from nutmegchute_core.members import UP
-from nutmegchute_core.members import Vouch
-from nutmegchute_core.members import VOUCH_S
 from nutmegchute_core.rosters import CHANGED
 from nutmegchute_core.rosters import FLOOR_S
 from nutmegchute_core.rosters import FULL
@@ -24,19 +24,19 @@
 from nutmegchute_core.rosters import MAX_PEERS
 from nutmegchute_core.rosters import PAUSED
 from nutmegchute_core.rosters import QUIET_S
+from nutmegchute_core.rosters import RENEWED
 from nutmegchute_core.rosters import Roster
 from nutmegchute_core.rosters import STALE
-from nutmegchute_core.rosters import TAKEN
 from support import announcement
 
 A = "10.0.0.1:80"
 
 
-def exchange(one: Roster, other: Roster, now: float) -> Vouch:
+def exchange(one: Roster, other: Roster, now: float) -> GossipMessage:
     """Let "one" ask "other", both hearing; return the answer."""
-    other.hear("one", one.vouch("other", now), now)
-    answer = other.vouch("one", now)
-    one.hear("other", answer, now)
+    other.receive("one", one.build_message("other", now), now)
+    answer = other.build_message("one", now)
+    one.receive("other", answer, now)
     return answer
 
 
@@ -111,7 +111,7 @@
     assert late.changed
     exchange(one, other, LEASE_S + 0.3)
     assert up_at(one, LEASE_S + 0.3) == []
-    one.hear("other", late, LEASE_S + 0.4)
+    one.receive("other", late, LEASE_S + 0.4)
     assert up_at(one, LEASE_S + 0.4) == []
 
 
@@ -121,12 +121,12 @@
     """Ignore a word that a restarted entry had sent before its end."""
     one, other = pair
     other.announce(announcement(A), 0.1)
-    one.vouch("other", 0.1)
-    late = other.vouch("one", 0.1)
+    one.build_message("other", 0.1)
+    late = other.build_message("one", 0.1)
     again = Roster(3000)
     exchange(one, again, 1.0)
     exchange(one, again, 1.1)
-    one.hear("other", late, 1.2)
+    one.receive("other", late, 1.2)
     assert up_at(one, 1.2) == []
 
 
@@ -139,9 +139,9 @@
     one, other = pair
     other.announce(announcement(A), 0.1)
     exchange(one, other, 0.1)
-    assert up_at(one, VOUCH_S) == [A]
-    one.expire(VOUCH_S + 0.2)
-    assert up_at(one, VOUCH_S + 0.2) == []
+    assert up_at(one, GOSSIP_LEASE_S) == [A]
+    one.expire(GOSSIP_LEASE_S + 0.2)
+    assert up_at(one, GOSSIP_LEASE_S + 0.2) == []
 
 
 def test_an_entry_that_died_is_replaced_by_the_next(
@@ -237,9 +237,9 @@
         members.announce(announcement(address), 0.0)
     assert members.announce(announcement("10.9.9.9:1"), 0.0) == FULL
     first = announcement("10.0.0.1:1")
-    assert members.announce(first, 0.0) == TAKEN
+    assert members.announce(first, 0.0) == RENEWED
     for number in range(MAX_PEERS + 5):
-        members.vouch(f"entry-{number}", 0.0)
+        members.build_message(f"entry-{number}", 0.0)
     assert len(members._peers) == MAX_PEERS
     for number in range(MAX_FLOORS + 5):
         one = announcement(f"10.1.{number // 1000}.1:{number + 1}")
@@ -253,7 +253,7 @@
 RATE = 1.02
 SPREAD_S = 1.0
 LATE_S = 2.0
-BOUND_S = (LEASE_S + VOUCH_S) * RATE**2 + SPREAD_S
+BOUND_S = (LEASE_S + GOSSIP_LEASE_S) * RATE**2 + SPREAD_S
 
 
 class Endpoint:
@@ -338,7 +338,7 @@
             home = self.entries[endpoint.home]
             word = endpoint.announcement()
             outcome = home.announce(word, self.clock(endpoint.home))
-            assert outcome in (TAKEN, CHANGED)
+            assert outcome in (RENEWED, CHANGED)
             endpoint.announced_at = self.now
             if len(self.late) < 8:
                 self.keep_late(endpoint.home, word)
@@ -364,18 +364,18 @@
 
     def exchange(self, one: str, other: str, answered: bool = True) -> None:
         """Let one entry ask another; keep copies for a late arrival."""
-        asked = self.entries[one].vouch(other, self.clock(one))
+        asked = self.entries[one].build_message(other, self.clock(one))
         self.tell(other, one, asked)
-        answer = self.entries[other].vouch(one, self.clock(other))
+        answer = self.entries[other].build_message(one, self.clock(other))
         if answered:
             self.tell(one, other, answer)
         if len(self.late) < 24:
             self.late.append(lambda: self.tell(other, one, asked))
             self.late.append(lambda: self.tell(one, other, answer))
 
-    def tell(self, to: str, source: str, vouch: Vouch) -> None:
+    def tell(self, to: str, source: str, vouch: GossipMessage) -> None:
         """Deliver a word."""
-        self.entries[to].hear(source, vouch, self.clock(to))
+        self.entries[to].receive(source, vouch, self.clock(to))
 
     @rule(steps=st.integers(1, 40))
     def pass_time(self, steps: int) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,8 +1,8 @@
 """Know which entries ask, what they know, and whom callers may use."""
 
 from nutmegchute_core.directories import EntryInfo
-from nutmegchute_core.sessions import choose_usable
-from nutmegchute_core.sessions import COUNTED_S
+from nutmegchute_core.sessions import choose_entries
+from nutmegchute_core.sessions import ENTRY_TTL_S
 from nutmegchute_core.sessions import EntrySessions
 from nutmegchute_core.sessions import SESSION_MARGIN_S
 
@@ -21,16 +21,18 @@
     return {REPLICA: (EPOCH, generation)}
 
 
-def behind(sessions: EntrySessions, generation: int, now: float) -> list[str]:
+def unconfirmed(
+    sessions: EntrySessions, generation: int, now: float
+) -> list[str]:
     """Name the entries in touch that have not seen a generation."""
-    return sessions.behind(REPLICA, (EPOCH, generation), now)
+    return sessions.unconfirmed(REPLICA, (EPOCH, generation), now)
 
 
 def usable(
     sessions: EntrySessions, zone: str | None, most: int, now: float
 ) -> list[str]:
     """Return the addresses that a caller in a zone should use."""
-    return choose_usable(sessions.attending(now), zone, most, 0)
+    return choose_entries(sessions.connected_entries(now), zone, most, 0)
 
 
 def test_leaving_waits_for_entries_in_touch() -> None:
@@ -41,33 +43,33 @@
     frozen one is waited for a moment, then it is out of touch.
     """
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(4), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(4), 7, HOLD_S, 0.0)
-    assert behind(sessions, 5, 0.1) == ["a", "b"]
-    sessions.answered("a", 0.1)
-    sessions.answered("b", 0.1)
-    sessions.hear(entry("a"), seen(5), 7, HOLD_S, 0.11)
-    assert behind(sessions, 5, 0.2) == ["b"]
-    assert behind(sessions, 5, 0.2 + SESSION_MARGIN_S) == []
+    sessions.record_request(entry("a"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(4), 7, HOLD_S, 0.0)
+    assert unconfirmed(sessions, 5, 0.1) == ["a", "b"]
+    sessions.record_answer("a", 0.1)
+    sessions.record_answer("b", 0.1)
+    sessions.record_request(entry("a"), seen(5), 7, HOLD_S, 0.11)
+    assert unconfirmed(sessions, 5, 0.2) == ["b"]
+    assert unconfirmed(sessions, 5, 0.2 + SESSION_MARGIN_S) == []
 
 
 def test_held_question_counts_as_in_touch() -> None:
     """Wait for an entry whose question is held, however long ago it came."""
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(4), 7, HOLD_S, 0.0)
-    assert behind(sessions, 5, HOLD_S) == ["a"]
-    assert behind(sessions, 5, HOLD_S + SESSION_MARGIN_S + 0.1) == []
+    sessions.record_request(entry("a"), seen(4), 7, HOLD_S, 0.0)
+    assert unconfirmed(sessions, 5, HOLD_S) == ["a"]
+    assert unconfirmed(sessions, 5, HOLD_S + SESSION_MARGIN_S + 0.1) == []
 
 
 def test_closed_connection_ends_attendance() -> None:
     """Neither wait for nor name an entry whose connection ended."""
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(4), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("a"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(4), 7, HOLD_S, 0.0)
     sessions.close("b")
-    assert behind(sessions, 5, 0.1) == ["a"]
+    assert unconfirmed(sessions, 5, 0.1) == ["a"]
     assert usable(sessions, "surco", 64, 0.1) == ["a:80"]
-    sessions.hear(entry("b"), seen(4), 7, HOLD_S, 0.2)
+    sessions.record_request(entry("b"), seen(4), 7, HOLD_S, 0.2)
     assert usable(sessions, "surco", 64, 0.2) == ["a:80", "b:80"]
 
 
@@ -75,9 +77,11 @@
     """Name the zone's entries, and all where the zone has hardly any."""
     sessions = EntrySessions()
     for name in ("a", "b"):
-        sessions.hear(entry(name), seen(1), 7, HOLD_S, 0.0)
-    sessions.hear(entry("c", "lima"), seen(1), 7, HOLD_S, 0.0)
-    sessions.hear(entry("d", "surco", draining=True), seen(1), 7, HOLD_S, 0.0)
+        sessions.record_request(entry(name), seen(1), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("c", "lima"), seen(1), 7, HOLD_S, 0.0)
+    sessions.record_request(
+        entry("d", "surco", draining=True), seen(1), 7, HOLD_S, 0.0
+    )
     assert usable(sessions, "surco", 64, 0.1) == ["a:80", "b:80"]
     assert usable(sessions, "lima", 64, 0.1) == ["c:80", "a:80", "b:80"]
     assert usable(sessions, None, 2, 0.1) == ["a:80", "b:80"]
@@ -90,19 +94,19 @@
     from control goes on spending its part.
     """
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(1), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(1), 7, HOLD_S, 50.0)
-    sessions.expire(COUNTED_S)
-    assert len(sessions.names(COUNTED_S)) == 2
-    sessions.expire(COUNTED_S + 1)
-    assert len(sessions.names(COUNTED_S + 1)) == 1
+    sessions.record_request(entry("a"), seen(1), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(1), 7, HOLD_S, 50.0)
+    sessions.expire(ENTRY_TTL_S)
+    assert len(sessions.names(ENTRY_TTL_S)) == 2
+    sessions.expire(ENTRY_TTL_S + 1)
+    assert len(sessions.names(ENTRY_TTL_S + 1)) == 1
 
 
 def test_entries_tell_which_tree_they_have_in_force() -> None:
     """Know whether a change is in force at every entry in touch."""
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(1), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(1), 6, HOLD_S, 0.0)
+    sessions.record_request(entry("a"), seen(1), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(1), 6, HOLD_S, 0.0)
     assert sessions.applied(0.1) == {"a": 7, "b": 6}
     sessions.close("b")
     assert sessions.applied(0.1) == {"a": 7}
@@ -111,8 +115,10 @@
 def test_generation_of_another_epoch_is_not_seen() -> None:
     """Wait for an entry that knows an earlier run of the replica only."""
     sessions = EntrySessions()
-    sessions.hear(entry("a"), {REPLICA: (EPOCH - 1, 9)}, 7, HOLD_S, 0.0)
-    assert behind(sessions, 5, 0.1) == ["a"]
+    sessions.record_request(
+        entry("a"), {REPLICA: (EPOCH - 1, 9)}, 7, HOLD_S, 0.0
+    )
+    assert unconfirmed(sessions, 5, 0.1) == ["a"]
 
 
 def test_entry_that_moved_is_not_waited_for() -> None:
@@ -123,12 +129,12 @@
     One whose question is held here has come back meanwhile.
     """
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(4), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(4), 7, HOLD_S, 0.0)
-    sessions.answered("a", 0.1)
-    sessions.moved("a")
-    sessions.moved("b")
-    assert behind(sessions, 5, 0.1) == ["b"]
+    sessions.record_request(entry("a"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_answer("a", 0.1)
+    sessions.release("a")
+    sessions.release("b")
+    assert unconfirmed(sessions, 5, 0.1) == ["b"]
 
 
 def test_callers_get_other_entries_in_turn() -> None:
@@ -136,7 +142,7 @@
     words = [entry(str(number)) for number in range(6)]
     counts: dict[str, int] = {}
     for turn in range(3):
-        for address in choose_usable(words, "surco", 4, turn):
+        for address in choose_entries(words, "surco", 4, turn):
             counts[address] = counts.get(address, 0) + 1
     assert set(counts.values()) == {2}
 
@@ -144,12 +150,14 @@
 def test_replicas_are_told_who_came_and_went() -> None:
     """Tell of entries that came, changed or are late, once each."""
     sessions = EntrySessions()
-    sessions.hear(entry("a"), seen(4), 7, HOLD_S, 0.0)
-    sessions.hear(entry("b"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("a"), seen(4), 7, HOLD_S, 0.0)
+    sessions.record_request(entry("b"), seen(4), 7, HOLD_S, 0.0)
     known = sessions.generation
     assert len(sessions.since(0)) == 2
-    sessions.hear(entry("a"), seen(5), 7, HOLD_S, 1.0)
+    sessions.record_request(entry("a"), seen(5), 7, HOLD_S, 1.0)
     assert sessions.since(known) == []
     assert sessions.expire(HOLD_S + SESSION_MARGIN_S + 0.1)
     late = sessions.since(known)
-    assert [(one.info.name, one.attends) for one in late] == [("b", False)]
+    assert [(one.info.name, one.is_connected) for one in late] == [
+        ("b", False)
+    ]
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -15,7 +15,7 @@
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.registries import CHANGED
 from nutmegchute_core.registries import Registry
-from nutmegchute_core.registries import TAKEN
+from nutmegchute_core.registries import RENEWED
 from nutmegchute_core.rules import read_services
 from nutmegchute_core.sessions import WatchRequest
 from nutmegchute_core.warmups import EntryGroup
@@ -292,10 +292,10 @@
 def test_word_that_an_endpoint_is_cold_anew_is_news() -> None:
     """Guard against entries that never hear of a second warm-up."""
     registry = Registry(1)
-    assert registry.take(endpoint(1, 3.0), 1, 0.0) == CHANGED
-    assert registry.take(endpoint(1, 1.4), 2, 1.5) == TAKEN
-    assert registry.take(endpoint(1, 0.0), 3, 3.1) == TAKEN
-    assert registry.take(endpoint(1, 3.0), 4, 9.0) == CHANGED
+    assert registry.register(endpoint(1, 3.0), 1, 0.0) == CHANGED
+    assert registry.register(endpoint(1, 1.4), 2, 1.5) == RENEWED
+    assert registry.register(endpoint(1, 0.0), 3, 3.1) == RENEWED
+    assert registry.register(endpoint(1, 3.0), 4, 9.0) == CHANGED
     (present,) = registry.since(1, registry.generation - 1, 10.0).present
     assert present.cold_s == pytest.approx(2.0)
 
@@ -306,7 +306,7 @@
     discovery.peers.update(["b:1"], 0.0)
     for name, zone in names(5).items():
         info = EntryInfo(name, f"{name}:1", zone)
-        discovery.hear_entry(WatchRequest(info, {}, 0, 0, 0.8), 0.1)
+        discovery.record_watch(WatchRequest(info, {}, 0, 0, 0.8), 0.1)
     assert discovery.group(0, 0.2) is None
     found = discovery.group(0, 2.0)
     assert found == group_of(names(5))
