--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -45,7 +45,7 @@
 
 ADMITTED = "admitted"
 QUEUED = "queued"
-MOST_STUCK = 4
+MAX_UNPLACED = 4
 CRASHES = "crashes the endpoints that run it"
 TOO_MANY_SUSPECTS = "too many suspects wait"
 
@@ -183,16 +183,16 @@
         pool.record_deadline(call, caller_deadline_s)
         reason = pool.admit(call, now)
         if reason is not None:
-            return call_id, [self._give_up(pool, call, reason)]
+            return call_id, [self._refuse_or_lose(pool, call, reason)]
         actions: list[Action] = []
-        if self._restrict(pool, call, now, actions):
+        if self._hold_or_refuse(pool, call, now, actions):
             return call_id, actions
-        if self._ask(pool, call, Inquiry([]), now, actions):
+        if self._send_queries(pool, call, Inquiry([]), now, actions):
             return call_id, actions
         self._enqueue(pool, call)
-        self._dispatch(pool, now, actions, self._blind(pool, call))
-        self._guard(pool, call)
-        self._ask_later(pool, call, now)
+        self._dispatch(pool, now, actions, self._exempt_call(pool, call))
+        self._schedule_expiry(pool, call)
+        self._schedule_requery(pool, call, now)
         return call_id, actions
 
     def finish(self, result: Result, now: float) -> list[Action]:
@@ -210,12 +210,12 @@
             if result.crashed:
                 process = pool.process_of(call, result.attempt)
             releases = self._isolation.learn(call, result, process, now)
-            pool.take_result(call, result, now)
-            self._let_go(releases, now, actions)
-        self._conclude(pool, call, result, now, actions)
+            pool.record_result(call, result, now)
+            self._release(releases, now, actions)
+        self._resolve_attempt(pool, call, result, now, actions)
         if pool is not None:
             self._dispatch(pool, now, actions)
-            self._guard(pool, call)
+            self._schedule_expiry(pool, call)
         return actions
 
     def apply_quarantine(
@@ -223,7 +223,7 @@
     ) -> list[Action]:
         """Take the requests that may crash endpoints, as control tells."""
         actions: list[Action] = []
-        self._let_go(self._isolation.take_news(news, now), now, actions)
+        self._release(self._isolation.take_news(news, now), now, actions)
         return actions
 
     def apply_ruling(
@@ -232,7 +232,7 @@
         """Take the answer to a trial request; None: there was none."""
         actions: list[Action] = []
         releases = self._isolation.apply_ruling(request, ruling, now)
-        self._let_go(releases, now, actions)
+        self._release(releases, now, actions)
         return actions
 
     def record_probe(
@@ -251,8 +251,8 @@
         pool = self._pools.get(service)
         if pool is not None:
             pool.record_probe(endpoint, load, now, stretch, answered, cold_s)
-            told = load is not None
-            self._hear_answer(pool, endpoint, told, now, actions)
+            has_load = load is not None
+            self._record_query_answer(pool, endpoint, has_load, now, actions)
             self._dispatch(pool, now, actions)
         return actions
 
@@ -299,9 +299,9 @@
             elif kind == EXPIRY:
                 self._expire(call, actions)
             elif kind == QUERY_TIMEOUT and call_id in self._inquiries:
-                self._end_round(call, now, actions)
+                self._end_query_round(call, now, actions)
             elif kind == REQUERY:
-                self._ask_again(call, now, actions)
+                self._requery(call, now, actions)
             elif kind == REQUEST_TRIAL:
                 self._isolation.seek(call.key, now)
         for name, pool in self._pools.items():
@@ -314,7 +314,7 @@
                 actions.append(Probe(name, address))
         return actions
 
-    def _ask(
+    def _send_queries(
         self,
         pool: Pool,
         call: Call,
@@ -323,22 +323,22 @@
         actions: list[Action],
     ) -> bool:
         """Ask endpoints for a call; return whether it waits for answers."""
-        asked = pool.planner.to_ask(inquiry, now)
-        if not asked:
+        addresses = pool.planner.select(inquiry, now)
+        if not addresses:
             return False
-        inquiry.ask(asked, now + QUERY_TIMEOUT_S)
+        inquiry.begin_round(addresses, now + QUERY_TIMEOUT_S)
         self._inquiries[call.call_id] = inquiry
         self._timers.add(now + QUERY_TIMEOUT_S, QUERY_TIMEOUT, call.call_id)
         path = pool.service.probe_path
-        for address in asked:
+        for address in addresses:
             actions.append(Probe(call.service, address, path))
         return True
 
-    def _hear_answer(
+    def _record_query_answer(
         self,
         pool: Pool,
         address: str,
-        told: bool,
+        has_load: bool,
         now: float,
         actions: list[Action],
     ) -> None:
@@ -346,17 +346,17 @@
             call = self._calls.get(call_id)
             if call is None or call.service != pool.service.name:
                 continue
-            if not inquiry.hear(address, told):
+            if not inquiry.record_answer(address, has_load):
                 continue
-            if pool.planner.suits(address, now):
+            if pool.planner.has_free_slot(address, now):
                 self._end_inquiry(call, now, actions)
                 continue
-            if not inquiry.over:
+            if not inquiry.is_round_over:
                 continue
-            if not self._ask_more(pool, call, inquiry, now, actions):
+            if not self._query_more(pool, call, inquiry, now, actions):
                 self._end_inquiry(call, now, actions)
 
-    def _ask_more(
+    def _query_more(
         self,
         pool: Pool,
         call: Call,
@@ -364,23 +364,23 @@
         now: float,
         actions: list[Action],
     ) -> bool:
-        if not inquiry.rounds_left or pool.planner.suffices(inquiry, now):
+        if not inquiry.has_rounds_left or pool.planner.can_stop(inquiry, now):
             return False
-        return self._ask(pool, call, inquiry, now, actions)
+        return self._send_queries(pool, call, inquiry, now, actions)
 
-    def _end_round(
+    def _end_query_round(
         self, call: Call, now: float, actions: list[Action]
     ) -> None:
         """Ask others in place of those that do not answer in time."""
         inquiry = self._inquiries[call.call_id]
-        if now < inquiry.until:
+        if now < inquiry.round_ends_at:
             # A later round has its own timer.
             return
         pool = self._pools.get(call.service)
         if pool is not None:
             for address in inquiry.unanswered:
-                pool.planner.note_silence(address, now)
-            if self._ask_more(pool, call, inquiry, now, actions):
+                pool.planner.record_timeout(address, now)
+            if self._query_more(pool, call, inquiry, now, actions):
                 return
         self._end_inquiry(call, now, actions)
 
@@ -389,12 +389,12 @@
     ) -> None:
         """Send a call on with what is known by now."""
         inquiry = self._inquiries.pop(call.call_id)
-        if inquiry.hedging:
-            self._hedge(call, now, actions)
+        if inquiry.for_hedge:
+            self._send_hedge(call, now, actions)
             return
         pool = self._pools.get(call.service)
         if pool is None:
-            actions.append(self._give_up(None, call, "unknown service"))
+            actions.append(self._refuse_or_lose(None, call, "unknown service"))
             return
         if call.state == ADMITTED:
             self._enqueue(pool, call)
@@ -402,64 +402,66 @@
             # Another call's answer told of room meanwhile, and it went.
             return
         # Endpoints that answer no question may still run calls.
-        freed = None if inquiry.told else call.call_id
-        self._dispatch(pool, now, actions, freed)
-        if self._send_away(pool, call, True, now, actions):
+        exempt = None if inquiry.has_load else call.call_id
+        self._dispatch(pool, now, actions, exempt)
+        if self._shed_waiting(pool, call, True, now, actions):
             return
-        self._guard(pool, call)
-        self._ask_later(pool, call, now)
+        self._schedule_expiry(pool, call)
+        self._schedule_requery(pool, call, now)
 
-    def _send_away(
+    def _shed_waiting(
         self,
         pool: Pool,
         call: Call,
-        begins: bool,
+        starts_waiting: bool,
         now: float,
         actions: list[Action],
     ) -> bool:
         """Refuse a waiting call that would wait in vain, if it would."""
-        if call.state != QUEUED or not pool.sends_away(call, begins, now):
+        if call.state != QUEUED or not pool.should_shed(
+            call, starts_waiting, now
+        ):
             return False
         pool.queue.remove(call.call_id)
         reason = "too many wait"
-        actions.append(self._give_up(pool, call, reason, CROWDED_RETRY_S))
+        actions.append(
+            self._refuse_or_lose(pool, call, reason, CROWDED_RETRY_S)
+        )
         return True
 
-    def _ask_again(
-        self, call: Call, now: float, actions: list[Action]
-    ) -> None:
+    def _requery(self, call: Call, now: float, actions: list[Action]) -> None:
         """Look for room for a call that is held back."""
         pool = self._pools.get(call.service)
         if pool is None or call.state != QUEUED:
             return
         if self._isolation.holds(call):
             return
-        if self._send_away(pool, call, False, now, actions):
+        if self._shed_waiting(pool, call, False, now, actions):
             return
-        if pool.queue.first(now) != call.call_id and not call.alone:
-            self._ask_later(pool, call, now)
+        if pool.queue.peek(now) != call.call_id and not call.alone:
+            self._schedule_requery(pool, call, now)
             return
         inquiry = Inquiry(list(call.attempts.values()), held=True)
-        if self._ask(pool, call, inquiry, now, actions):
+        if self._send_queries(pool, call, inquiry, now, actions):
             return
         # Not to be asked: by the budget, or since the answer is known.
-        self._dispatch(pool, now, actions, self._blind(pool, call))
-        self._ask_later(pool, call, now)
+        self._dispatch(pool, now, actions, self._exempt_call(pool, call))
+        self._schedule_requery(pool, call, now)
 
-    def _blind(self, pool: Pool, call: Call) -> int | None:
+    def _exempt_call(self, pool: Pool, call: Call) -> int | None:
         """Name a call that goes by what is known where nobody may be asked.
 
         Where questions are only used up for a moment it waits for the next
         one: sent to endpoints that nobody has looked at, calls fill their
         queues, and the answers to the questions that follow are all bad.
         """
-        return None if pool.asks else call.call_id
+        return None if pool.may_query else call.call_id
 
-    def _ask_later(self, pool: Pool, call: Call, now: float) -> None:
-        if call.state == QUEUED and pool.holds:
+    def _schedule_requery(self, pool: Pool, call: Call, now: float) -> None:
+        if call.state == QUEUED and pool.holds_calls:
             self._timers.add(now + REQUERY_S, REQUERY, call.call_id)
 
-    def _conclude(
+    def _resolve_attempt(
         self,
         pool: Pool | None,
         call: Call,
@@ -482,7 +484,9 @@
         if self._retry(pool, call, result, now):
             return
         if not call.outstanding:
-            actions.append(self._give_up(pool, call, "no upstream answered"))
+            actions.append(
+                self._refuse_or_lose(pool, call, "no upstream answered")
+            )
 
     def _retry(
         self, pool: Pool | None, call: Call, result: Result, now: float
@@ -502,7 +506,7 @@
             return False
         call.step("retry")
         self._enqueue(pool, call)
-        if pool.holds:
+        if pool.holds_calls:
             # Held for another call's answer, it could wait at a quiet entry
             # until its deadline.
             self._timers.add(now, REQUERY, call.call_id)
@@ -530,12 +534,12 @@
         pool: Pool,
         now: float,
         actions: list[Action],
-        freed: int | None = None,
+        exempt: int | None = None,
     ) -> None:
-        """Send the calls that may go; ``freed`` need not wait for news."""
-        stuck: list[Call] = []
-        while len(stuck) <= MOST_STUCK:
-            call_id = pool.queue.first(now)
+        """Send the calls that may go; ``exempt`` need not wait for news."""
+        unplaced: list[Call] = []
+        while len(unplaced) <= MAX_UNPLACED:
+            call_id = pool.queue.peek(now)
             if call_id is None:
                 break
             call = self._calls[call_id]
@@ -543,16 +547,20 @@
             if unavailable is not None:
                 pool.queue.remove(call_id)
                 reason, after_s = unavailable.reason, unavailable.retry_after_s
-                actions.append(self._give_up(pool, call, reason, after_s))
+                actions.append(
+                    self._refuse_or_lose(pool, call, reason, after_s)
+                )
                 continue
-            if self._restrict(pool, call, now, actions):
+            if self._hold_or_refuse(pool, call, now, actions):
                 continue
             endpoint = pool.choose(call, now)
-            if not self._may_go(pool, call, endpoint, call_id == freed, now):
+            if not self._may_send(
+                pool, call, endpoint, call_id == exempt, now
+            ):
                 break
             pool.queue.remove(call_id)
             if endpoint is None:
-                stuck.append(call)
+                unplaced.append(call)
                 if not call.attempts and not call.alone:
                     break
                 # A retry avoids where it failed; a call behind it may
@@ -563,24 +571,24 @@
             delay_s = pool.hedge_delay_s(call)
             if delay_s is not None:
                 self._timers.add(now + delay_s, HEDGE, call_id)
-        for call in stuck:
+        for call in unplaced:
             self._enqueue(pool, call)
 
-    def _may_go(
+    def _may_send(
         self,
         pool: Pool,
         call: Call,
         endpoint: str | None,
-        freed: bool,
+        exempt: bool,
         now: float,
     ) -> bool:
         if endpoint is None:
             return call.alone or pool.has_room()
         if call.alone:
             return True
-        return pool.may_send(call, endpoint, freed, now)
+        return pool.may_send(call, endpoint, exempt, now)
 
-    def _guard(self, pool: Pool, call: Call) -> None:
+    def _schedule_expiry(self, pool: Pool, call: Call) -> None:
         """See to it that a call left waiting is refused in time."""
         if call.state == QUEUED:
             at = pool.latest_send_at(call)
@@ -589,7 +597,7 @@
     def _send(self, pool: Pool, call: Call, address: str, now: float) -> Send:
         attempt = call.record_send(address, now)
         basis = pool.basis(address, now)
-        pool.take_send(call, attempt, now)
+        pool.record_attempt(call, attempt, now)
         return Send(
             call_id=call.call_id,
             attempt=attempt,
@@ -605,17 +613,19 @@
         pool = self._pools.get(call.service)
         if pool is None or len(call.outstanding) != 1:
             return
-        if not pool.may_hedge(call, now) or self._may_have_crashed(call, now):
+        if not pool.may_hedge(call, now) or self._is_suspect(call, now):
             return
         inquiry = Inquiry(list(call.attempts.values()), True)
-        if not self._ask(pool, call, inquiry, now, actions):
-            self._hedge(call, now, actions)
+        if not self._send_queries(pool, call, inquiry, now, actions):
+            self._send_hedge(call, now, actions)
 
-    def _hedge(self, call: Call, now: float, actions: list[Action]) -> None:
+    def _send_hedge(
+        self, call: Call, now: float, actions: list[Action]
+    ) -> None:
         pool = self._pools.get(call.service)
         if pool is None or len(call.outstanding) != 1:
             return
-        if self._may_have_crashed(call, now):
+        if self._is_suspect(call, now):
             return
         address = pool.choose_hedge(call, now)
         if address is None:
@@ -629,7 +639,7 @@
         pool = self._pools.get(call.service)
         if pool is not None:
             pool.queue.remove(call.call_id)
-        actions.append(self._give_up(pool, call, "deadline passed"))
+        actions.append(self._refuse_or_lose(pool, call, "deadline passed"))
 
     def _cancel(
         self,
@@ -641,10 +651,10 @@
         for attempt in sorted(call.outstanding):
             actions.append(Cancel(call.call_id, attempt))
             if pool is not None:
-                pool.take_cancel(call, attempt, now)
+                pool.record_cancel(call, attempt, now)
         call.outstanding.clear()
 
-    def _give_up(
+    def _refuse_or_lose(
         self,
         pool: Pool | None,
         call: Call,
@@ -664,13 +674,13 @@
             retry_after_s = 0.0 if pool is None else pool.retry_after_s
         return Refuse(call.call_id, reason, retry_after_s)
 
-    def _may_have_crashed(self, call: Call, now: float) -> bool:
+    def _is_suspect(self, call: Call, now: float) -> bool:
         """Tell whether a call is a suspect's; those are sent once a time."""
         if call.trial_token:
             return True
         return self._isolation.look(call, now).outcome != FREE
 
-    def _restrict(
+    def _hold_or_refuse(
         self, pool: Pool, call: Call, now: float, actions: list[Action]
     ) -> bool:
         """Hold or refuse a call that may not simply go; tell if it was."""
@@ -679,19 +689,21 @@
             return False
         pool.queue.remove(call.call_id)
         if ruling.outcome == QUARANTINED:
-            actions.append(self._give_up(pool, call, CRASHES, ruling.after_s))
+            actions.append(
+                self._refuse_or_lose(pool, call, CRASHES, ruling.after_s)
+            )
             return True
         if not self._isolation.hold(call, now):
             actions.append(
-                self._give_up(pool, call, TOO_MANY_SUSPECTS, WAIT_S)
+                self._refuse_or_lose(pool, call, TOO_MANY_SUSPECTS, WAIT_S)
             )
             return True
         if call.state == ADMITTED:
             call.step("queue")
-        self._guard(pool, call)
+        self._schedule_expiry(pool, call)
         return True
 
-    def _let_go(
+    def _release(
         self, releases: list[Release], now: float, actions: list[Action]
     ) -> None:
         """Queue the calls that were held, or refuse them."""
@@ -699,13 +711,17 @@
             call = release.call
             pool = self._pools.get(call.service)
             if pool is None:
-                actions.append(self._give_up(None, call, "unknown service"))
+                actions.append(
+                    self._refuse_or_lose(None, call, "unknown service")
+                )
                 continue
             if release.ruling.outcome == QUARANTINED:
                 after_s = release.ruling.after_s
-                actions.append(self._give_up(pool, call, CRASHES, after_s))
+                actions.append(
+                    self._refuse_or_lose(pool, call, CRASHES, after_s)
+                )
                 continue
             self._enqueue(pool, call)
-            if pool.holds:
+            if pool.holds_calls:
                 self._timers.add(now, REQUERY, call.call_id)
             self._dispatch(pool, now, actions)
--- a/packages/core/nutmegchute_core/budgets.py
+++ b/packages/core/nutmegchute_core/budgets.py
@@ -17,7 +17,7 @@
 MIN_BURST = 1.0
 
 # Float sums of gaps must not let one probe more into a window.
-GAP_SLACK = 1e-6
+GAP_TOLERANCE = 1e-6
 
 
 class ExtraBudget:
@@ -113,7 +113,7 @@
         if share >= 1.0:
             # Whole probes, so that any second holds at most the share.
             share = float(int(share))
-        self._gap_s = (1.0 + GAP_SLACK) / share if share > 0 else None
+        self._gap_s = (1.0 + GAP_TOLERANCE) / share if share > 0 else None
         self._next_at = 0.0
 
     @property
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -164,7 +164,7 @@
             score = self.score(endpoint, now)
             # One that has just told that it is free goes before those of
             # which only the mean is known.
-            slot = self.slot(endpoint, now)
+            slot = self.slot_kind(endpoint, now)
             if (-slot, score) < (-best_slot, best_score):
                 best = endpoint
                 best_score = score
@@ -203,11 +203,11 @@
             )
         return open_ones or silent
 
-    def slot(self, endpoint: Endpoint, now: float) -> int:
+    def slot_kind(self, endpoint: Endpoint, now: float) -> int:
         """Tell what a call sent now is known to find at an endpoint."""
         if not self._stretches:
             return NO_SLOT
-        return self.fullness.slot(endpoint, now)
+        return self.fullness.slot_kind(endpoint, now)
 
     def _has_room(self, endpoint: Endpoint, now: float) -> bool:
         if endpoint.in_flight >= endpoint.slots:
@@ -270,10 +270,10 @@
     ) -> None:
         """Take an endpoint's load report."""
         endpoint.record_load(load, now, stretch)
-        self._others.learn(endpoint.reported_others)
+        self._others.record(endpoint.reported_others)
         self._tells_nothing = False
         if stretch is not None:
-            self._stretch.learn(stretch)
+            self._stretch.record(stretch)
             self._stretches = True
             self._untold = 0
         elif self._stretches is None:
@@ -304,7 +304,7 @@
         """Take the time of an answer, in seconds."""
         if self._policy.latency:
             endpoint.record_latency(latency_s, now)
-        self._latency.learn(latency_s)
+        self._latency.record(latency_s)
         endpoint.record_success()
         self._stalls.pop(endpoint.zone, None)
         self._ejected.discard(endpoint)
@@ -344,7 +344,7 @@
         """
         if not self._stretches:
             return load > endpoint.slots * (1.0 + QUEUE_SHARE)
-        if self.fullness.matters:
+        if self.fullness.is_significant:
             return is_nearly_full(endpoint, load)
         return load >= endpoint.slots
 
@@ -370,7 +370,7 @@
                 continue
             if endpoint.is_unreachable(now):
                 continue
-            if self.fullness.slot(endpoint, now) == FREE_SLOT:
+            if self.fullness.slot_kind(endpoint, now) == FREE_SLOT:
                 return []
             found.append(endpoint)
         found.sort(key=lambda one: self.score(one, now))
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -16,9 +16,9 @@
 # wanted, and two at once use up what may be asked in a burst. Worst two
 # seconds (make bench-placing): burst 0.88 one by one, 0.86 two at once, half
 # of the endpoints dark 0.68 and 0.65, with 3.0 and 3.9 questions a call.
-ROUNDS = 8
+MAX_ROUNDS = 8
 # So many are asked in the entry's own availability zone.
-NEAR_ROUNDS = 5
+LOCAL_ROUNDS = 5
 # What an answer may take within a region, new connection included; a call
 # waits no longer for what may be a lost endpoint.
 QUERY_TIMEOUT_S = 0.015
@@ -29,7 +29,7 @@
 REQUERY_S = 0.05
 # Work that takes longer than this multiple of the usual is worth another
 # question: neighbours cost two or more.
-STRETCHED = 1.5
+MAX_STRETCH = 1.5
 # Some endpoints slow down when nearly full. Whether those of a service do
 # is learned. Until enough answers tell, none is expected: held back from
 # such endpoints, calls would never show that they do not slow down. A mean
@@ -37,18 +37,18 @@
 # where nothing slows down and 5 in 100 at a factor of 1.7 (100,000 draws, work
 # log-normal with sigma 0.3), and a slowdown that is not there fades.
 NEARLY_FULL = 0.8
-FIRST_FULL_FACTOR = 1.0
-LEAST_ANSWERS = 4
+INITIAL_FULL_FACTOR = 1.0
+MIN_ANSWERS = 4
 # A slowdown below this is no reason to ask further; medians of a few answers
 # differ by a tenth either way.
-FULL_MATTERS = 1.3
+MIN_SLOWDOWN = 1.3
 # What was learned fades with every answer from an endpoint that was not
 # nearly full, so that it is tried again after some three hundred of them:
 # while it keeps calls away nothing else could show that it is wrong.
-FULL_FADES = 0.999
+SLOWDOWN_DECAY = 0.999
 # An answer that a neighbour delayed says little of fullness: it counts as no
 # more than this multiple, above what any nearly full endpoint takes.
-MULTIPLE_MOST = 3.0
+MAX_MULTIPLE = 3.0
 # What a call finds at an endpoint that was heard of just now: nothing, a
 # last slot in which work takes longer or may do so, or one like any other.
 NO_SLOT = 0
@@ -57,7 +57,7 @@
 # Questions a second, as a share of what the upstreams allow all entries, and
 # how many seconds' worth may be saved up: in no second do both together come
 # to more than is allowed.
-ALLOWED_SHARE = 2 / 3
+INQUIRY_SHARE = 2 / 3
 BURST_S = 0.5
 
 
@@ -70,79 +70,79 @@
     """
 
     __slots__ = (
-        "_asked",
-        "_avoid",
-        "_hedging",
-        "_open",
+        "_excluded",
+        "_for_hedge",
+        "_has_load",
+        "_pending",
+        "_queried",
         "_round",
-        "_told",
-        "until",
+        "round_ends_at",
     )
 
     def __init__(
-        self, avoid: list[str], hedging: bool = False, held: bool = False
+        self, excluded: list[str], for_hedge: bool = False, held: bool = False
     ) -> None:
-        self._asked: list[str] = []
-        self._avoid = avoid
-        self._hedging = hedging
-        self._open: set[str] = set()
-        self._round = ROUNDS - 1 if held else 0
-        self._told = False
-        self.until = 0.0
+        self._queried: list[str] = []
+        self._excluded = excluded
+        self._for_hedge = for_hedge
+        self._pending: set[str] = set()
+        self._round = MAX_ROUNDS - 1 if held else 0
+        self._has_load = False
+        self.round_ends_at = 0.0
 
     @property
-    def told(self) -> bool:
+    def has_load(self) -> bool:
         """Tell whether any endpoint answered."""
-        return self._told
+        return self._has_load
 
     @property
-    def avoid(self) -> list[str]:
+    def excluded(self) -> list[str]:
         """List the addresses that were asked or tried already."""
-        return [*self._avoid, *self._asked]
+        return [*self._excluded, *self._queried]
 
     @property
-    def asked(self) -> list[str]:
+    def queried(self) -> list[str]:
         """List the addresses that were asked."""
-        return self._asked
+        return self._queried
 
     @property
-    def hedging(self) -> bool:
+    def for_hedge(self) -> bool:
         """Tell whether a second attempt is to be placed."""
-        return self._hedging
+        return self._for_hedge
 
     @property
-    def over(self) -> bool:
+    def is_round_over(self) -> bool:
         """Tell whether every question of this round has its answer."""
-        return not self._open
+        return not self._pending
 
     @property
-    def near(self) -> bool:
+    def local_only(self) -> bool:
         """Tell whether to ask in this availability zone only."""
-        return self._round < NEAR_ROUNDS
+        return self._round < LOCAL_ROUNDS
 
     @property
-    def rounds_left(self) -> bool:
+    def has_rounds_left(self) -> bool:
         """Tell whether others may still be asked."""
-        return self._round < ROUNDS
+        return self._round < MAX_ROUNDS
 
     @property
     def unanswered(self) -> list[str]:
         """List who has not answered in this round."""
-        return sorted(self._open)
+        return sorted(self._pending)
 
-    def ask(self, addresses: list[str], until: float) -> None:
+    def begin_round(self, addresses: list[str], round_ends_at: float) -> None:
         """Begin a round that is over at a time at the latest."""
-        self.until = until
+        self.round_ends_at = round_ends_at
         self._round += 1
-        self._open = set(addresses)
-        self._asked = [*self._asked, *addresses]
+        self._pending = set(addresses)
+        self._queried = [*self._queried, *addresses]
 
-    def hear(self, address: str, told: bool) -> bool:
+    def record_answer(self, address: str, has_load: bool) -> bool:
         """Take a question's end; return whether this call asked it."""
-        if address not in self._open:
+        if address not in self._pending:
             return False
-        self._told = self._told or told
-        self._open.discard(address)
+        self._has_load = self._has_load or has_load
+        self._pending.discard(address)
         return True
 
 
@@ -163,7 +163,7 @@
 
     def limit(self, rate: float) -> None:
         """Take how many questions a second are this entry's."""
-        self._rate = rate * ALLOWED_SHARE
+        self._rate = rate * INQUIRY_SHARE
 
     def spend(self, count: int, now: float) -> bool:
         """Take questions, if there are so many."""
@@ -195,43 +195,43 @@
         self._faded = 1.0
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Tell whether enough answers have told."""
-        return min(self._counts) >= LEAST_ANSWERS
+        return min(self._counts) >= MIN_ANSWERS
 
     @property
     def factor(self) -> float:
         """Give the slowdown, at least 1."""
-        if not self.known:
-            return FIRST_FULL_FACTOR
+        if not self.is_known:
+            return INITIAL_FULL_FACTOR
         factor = self._full.value / self._free.value
         return max(1.0, factor * self._faded)
 
     @property
-    def matters(self) -> bool:
+    def is_significant(self) -> bool:
         """Tell whether being nearly full is a reason to go elsewhere."""
-        return self.factor > FULL_MATTERS
+        return self.factor > MIN_SLOWDOWN
 
-    def learn(self, full: bool, multiple: float) -> None:
+    def record(self, full: bool, multiple: float) -> None:
         """Take an answer's time as a multiple of the usual."""
         self._counts[full] += 1
-        self._faded = 1.0 if full else self._faded * FULL_FADES
+        self._faded = 1.0 if full else self._faded * SLOWDOWN_DECAY
         mean = self._full if full else self._free
-        mean.learn(min(multiple, MULTIPLE_MOST))
+        mean.record(min(multiple, MAX_MULTIPLE))
 
-    def slot(self, endpoint: Endpoint, now: float) -> int:
+    def slot_kind(self, endpoint: Endpoint, now: float) -> int:
         """Tell what a call sent now is known to find at an endpoint."""
         age_s = endpoint.report_age_s(now)
         if age_s is None or age_s > FRESH_S:
             return NO_SLOT
-        if endpoint.stretch > STRETCHED:
+        if endpoint.stretch > MAX_STRETCH:
             return NO_SLOT
         if endpoint.spare_slots < 1:
             return NO_SLOT
         load = endpoint.slots - endpoint.spare_slots
         if not is_nearly_full(endpoint, load):
             return FREE_SLOT
-        if self.known and not self.matters:
+        if self.is_known and not self.is_significant:
             return FREE_SLOT
         return LAST_SLOT
 
--- a/packages/core/nutmegchute_core/inquiry_planners.py
+++ b/packages/core/nutmegchute_core/inquiry_planners.py
@@ -23,7 +23,7 @@
         self._endpoints: dict[str, Endpoint] = {}
 
     @property
-    def allowed(self) -> bool:
+    def has_budget(self) -> bool:
         """Tell whether any question may be asked at all."""
         return self._budget.rate > 0
 
@@ -37,19 +37,25 @@
         self._limit = (per_endpoint, share)
         self._budget.limit(per_endpoint * len(self._endpoints) * share)
 
-    def to_ask(self, inquiry: Inquiry, now: float) -> list[str]:
+    def select(self, inquiry: Inquiry, now: float) -> list[str]:
         """Return whom to ask before a call is sent, as far as allowed."""
         if not self._policy.inquiries:
             return []
-        avoid = inquiry.avoid
-        found = self._chooser.endpoints_to_query(avoid, inquiry.near, now)
-        if not found and inquiry.near and not self._has_last(inquiry, now):
+        avoid = inquiry.excluded
+        found = self._chooser.endpoints_to_query(
+            avoid, inquiry.local_only, now
+        )
+        if (
+            not found
+            and inquiry.local_only
+            and not self._found_last_slot(inquiry, now)
+        ):
             found = self._chooser.endpoints_to_query(avoid, False, now)
         if not found or not self._budget.spend(len(found), now):
             return []
         return [endpoint.address for endpoint in found]
 
-    def note_silence(self, address: str, now: float) -> None:
+    def record_timeout(self, address: str, now: float) -> None:
         """Leave an endpoint alone that did not answer in time."""
         endpoint = self._endpoints.get(address)
         if endpoint is None or endpoint.is_unreachable(now):
@@ -57,27 +63,27 @@
         if self._policy.silence:
             endpoint.mark_unreachable(now)
 
-    def suits(self, address: str, now: float) -> bool:
+    def has_free_slot(self, address: str, now: float) -> bool:
         """Tell whether a call can begin at once, at pace, at an endpoint."""
-        return self.slot(address, now) == FREE_SLOT
+        return self.slot_kind(address, now) == FREE_SLOT
 
-    def suffices(self, inquiry: Inquiry, now: float) -> bool:
+    def can_stop(self, inquiry: Inquiry, now: float) -> bool:
         """Tell whether what was found ends the questions."""
-        return not inquiry.near and self._has_last(inquiry, now)
+        return not inquiry.local_only and self._found_last_slot(inquiry, now)
 
-    def slot(self, address: str, now: float) -> int:
+    def slot_kind(self, address: str, now: float) -> int:
         """Tell what a call sent now is known to find at an address."""
         endpoint = self._endpoints.get(address)
         if endpoint is None:
             return NO_SLOT
-        return self._chooser.slot(endpoint, now)
+        return self._chooser.slot_kind(endpoint, now)
 
-    def _has_last(self, inquiry: Inquiry, now: float) -> bool:
+    def _found_last_slot(self, inquiry: Inquiry, now: float) -> bool:
         # Until it is known that work takes longer in a last slot, it is no
         # reason to leave the availability zone.
-        if self._chooser.fullness.matters:
+        if self._chooser.fullness.is_significant:
             return False
-        for address in inquiry.asked:
-            if self.slot(address, now) == LAST_SLOT:
+        for address in inquiry.queried:
+            if self.slot_kind(address, now) == LAST_SLOT:
                 return True
         return False
--- a/packages/core/nutmegchute_core/latencies.py
+++ b/packages/core/nutmegchute_core/latencies.py
@@ -21,7 +21,7 @@
         """Give the present estimate, in seconds."""
         return self._value_s
 
-    def learn(self, latency_s: float) -> None:
+    def record(self, latency_s: float) -> None:
         """Take one latency, in seconds."""
         if latency_s > self._value_s:
             self._value_s *= 1.0 + QUANTILE_STEP * self._share
@@ -44,7 +44,7 @@
         """Give the present estimate."""
         return self._value
 
-    def learn(self, value: float) -> None:
+    def record(self, value: float) -> None:
         """Take one value; the first ones count for more."""
         self._seen += 1
         weight = max(self._weight, 1.0 / self._seen)
--- a/packages/core/nutmegchute_core/limits.py
+++ b/packages/core/nutmegchute_core/limits.py
@@ -1,9 +1,9 @@
 """Limit one entry's calls in flight by what the endpoints report."""
 
 # Shares of what is one entry's if all entries get the same.
-FIRST_SHARE = 2.0
+INITIAL_SHARE = 2.0
 MIN_SHARE = 0.5
-GAIN = 1.0
+INCREASE = 1.0
 SHRINK_FACTOR = 0.9
 
 
@@ -16,17 +16,17 @@
     avoidance in computer networks", sections 5.1 and 5.2).
     """
 
-    __slots__ = ("_least", "_shrunk_at", "_size")
+    __slots__ = ("_min_size", "_shrunk_at", "_size")
 
     def __init__(self) -> None:
-        self._least = 1.0
+        self._min_size = 1.0
         self._size: float | None = None
         self._shrunk_at = 0.0
 
     @property
     def size(self) -> float:
         """Give the most calls in flight."""
-        return self._least if self._size is None else self._size
+        return self._min_size if self._size is None else self._size
 
     def set_share(self, slots: float, endpoint_slots: int) -> None:
         """Take the slots that would be this entry's equal share.
@@ -34,21 +34,21 @@
         A new entry starts above its share, or with one endpoint's slots:
         entries may be fewer than configured.
         """
-        self._least = max(1.0, slots * MIN_SHARE)
+        self._min_size = max(1.0, slots * MIN_SHARE)
         if self._size is None and endpoint_slots:
-            self._size = max(float(endpoint_slots), slots * FIRST_SHARE)
+            self._size = max(float(endpoint_slots), slots * INITIAL_SHARE)
         elif self._size is not None:
-            self._size = max(self._size, self._least)
+            self._size = max(self._size, self._min_size)
 
-    def learn(
+    def record(
         self, crowded: bool, in_flight: int, now: float, pause_s: float
     ) -> None:
         """Take one report's bit; shrink at most once in ``pause_s``."""
         if not crowded:
             if in_flight + 1 >= self.size / 2:
-                self._size = self.size + GAIN / self.size
+                self._size = self.size + INCREASE / self.size
             return
         if now - self._shrunk_at < pause_s:
             return
         self._shrunk_at = now
-        self._size = max(self._least, self.size * SHRINK_FACTOR)
+        self._size = max(self._min_size, self.size * SHRINK_FACTOR)
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -30,19 +30,19 @@
 from .warmups import WarmUps
 
 # Calls of others per slot beyond which a hedge only lengthens queues.
-HEDGE_MOST_LOAD = 0.5
-HEDGE_LEAST_FACTOR = 1.5
-TYPICAL_MOST_SHARE = 0.5
-RETRY_AFTER_LEAST_S = 0.2
+HEDGE_MAX_LOAD = 0.5
+HEDGE_MIN_FACTOR = 1.5
+TYPICAL_MAX_SHARE = 0.5
+MIN_RETRY_AFTER_S = 0.2
 # Where nobody waits a call was refused by endpoints that shed at random or
 # are leaving, and there is room at once; the rest lets entries hear of a
 # change. With every endpoint shedding 45 in 100 calls, worst two seconds
 # (make bench-placing, five seeds): 0.90 of the calls in time, 0.86 when told
 # 0.05 s.
-NO_QUEUE_RETRY_S = 0.01
+EMPTY_QUEUE_RETRY_S = 0.01
 # A caller that comes back has used up more than this: its way there and back
 # again on a new connection. Less is the time a call waits for a thread here.
-RETURN_LEAST_S = 0.01
+MIN_RETURN_S = 0.01
 TIMED_OUT_SHARE = 0.9
 # A caller that is sent away while others wait comes back after this: soon
 # enough to be in time, and after the first answers that tell of room.
@@ -59,11 +59,11 @@
 YIELD_SHARE = 0.8
 # The time between two sends while calls wait: what is taken at first, and
 # the most that a pause may count for.
-FIRST_GAP_S = 0.05
-GAP_MOST_S = 1.0
+INITIAL_SEND_GAP_S = 0.05
+MAX_SEND_GAP_S = 1.0
 # Routes come and go with the configuration; what is learned of those that
 # went must not be kept for ever.
-MOST_RULES = 1024
+MAX_RULES = 1024
 
 
 class Pool:
@@ -73,14 +73,14 @@
         "_chooser",
         "_endpoints",
         "_extra",
-        "_gap",
-        "_half",
+        "_in_flight",
+        "_median",
         "_policy",
         "_probes",
+        "_rule_latencies",
+        "_send_gap",
         "_sent_at",
         "_service",
-        "_under_way",
-        "_usual",
         "_window",
         "_zone",
         "eligibility",
@@ -107,13 +107,13 @@
         self.planner = InquiryPlanner(self._chooser, policy)
         self._probes = ProbeBudget(service.probes_per_s, service.most_entries)
         self._window = Window()
-        self._half = Quantile(0.5)
+        self._median = Quantile(0.5)
         # By rule: what is late for one kind of call is usual for another.
-        self._usual: dict[str, RuleLatency] = {}
-        self._gap = Mean(FIRST_GAP_S)
+        self._rule_latencies: dict[str, RuleLatency] = {}
+        self._send_gap = Mean(INITIAL_SEND_GAP_S)
         self._sent_at: float | None = None
         self._endpoints: dict[str, Endpoint] = {}
-        self._under_way: dict[tuple[int, int], SentAttempt] = {}
+        self._in_flight: dict[tuple[int, int], SentAttempt] = {}
         self.queue = WaitQueue()
 
     @property
@@ -129,15 +129,15 @@
     @property
     def in_flight(self) -> int:
         """Count the attempts under way."""
-        return len(self._under_way)
+        return len(self._in_flight)
 
     @property
     def retry_after_s(self) -> float:
         """Estimate when there is room: once those who wait are through."""
         if not self.queue:
-            return NO_QUEUE_RETRY_S
-        wait_s = len(self.queue) * self._gap_s + self._half.value_s
-        return max(RETRY_AFTER_LEAST_S, wait_s)
+            return EMPTY_QUEUE_RETRY_S
+        wait_s = len(self.queue) * self._send_gap_s + self._median.value_s
+        return max(MIN_RETRY_AFTER_S, wait_s)
 
     @property
     def next_probe_at(self) -> float | None:
@@ -146,8 +146,8 @@
 
     def reconfigure(self, service: Service) -> None:
         """Take what a newer configuration says."""
-        if len(self._usual) > MOST_RULES:
-            self._usual.clear()
+        if len(self._rule_latencies) > MAX_RULES:
+            self._rule_latencies.clear()
         self._service = service
         probes = ProbeBudget(service.probes_per_s, service.most_entries)
         probes.continue_from(self._probes)
@@ -156,9 +156,9 @@
         self.eligibility.configure(service)
 
     @property
-    def asks(self) -> bool:
+    def may_query(self) -> bool:
         """Tell whether endpoints are asked at all."""
-        return self.holds and self.planner.allowed
+        return self.holds_calls and self.planner.has_budget
 
     def limit_extra(self, share: float, burst: float) -> None:
         """Take this entry's part of the extra sends."""
@@ -217,8 +217,8 @@
         ahead = self.queue.count_ahead(
             call.rule.priority, self.late_at(call), now
         )
-        wait_s = ahead * self._gap_s + self._typical_s(call)
-        share = HELD_ADMIT_SHARE if self.holds else ADMIT_SHARE
+        wait_s = ahead * self._send_gap_s + self._typical_s(call)
+        share = HELD_ADMIT_SHARE if self.holds_calls else ADMIT_SHARE
         if wait_s > (call.deadline_at - now) * share:
             return TOO_LATE
         return None
@@ -232,11 +232,11 @@
         """
         if deadline_s is None:
             return
-        usual = self._usual_of(call)
-        usual.deadline_s = max(usual.deadline_s, deadline_s)
-        used_s = usual.deadline_s - deadline_s
+        rule_latency = self._latency_of(call)
+        rule_latency.deadline_s = max(rule_latency.deadline_s, deadline_s)
+        used_s = rule_latency.deadline_s - deadline_s
         call.objective_at -= used_s
-        call.is_first_try = used_s < RETURN_LEAST_S
+        call.is_first_try = used_s < MIN_RETURN_S
 
     def late_at(self, call: Call) -> float:
         """Give until when a send may still be answered in full use."""
@@ -258,24 +258,26 @@
             return Unavailable(TOO_LATE)
         return self.eligibility.unavailable(now)
 
-    def sends_away(self, call: Call, begins: bool, now: float) -> bool:
+    def should_shed(
+        self, call: Call, starts_waiting: bool, now: float
+    ) -> bool:
         """Tell whether a call that found no room should not wait on.
 
         When more comes than endpoints can take, calls in time go first and
         late ones wait until their deadline, most of them for nothing. So a
         late call waits only while it is the only one, and where one waits
-        late already no other ``begins`` to: refused while it can be in
+        late already no other ``starts_waiting`` to: refused while it can be in
         time, it comes back, most often to another entry. A third of the
         endpoints dark in a burst, worst two seconds (make bench-placing):
         0.68 of the calls in time, 0.63 when all wait.
         """
-        if not self.holds or call.may_have_run:
+        if not self.holds_calls or call.may_have_run:
             return False
         if not self._policy.sending_away:
             return False
         if self.late_at(call) < now:
             return len(self.queue) > 1
-        return begins and self.queue.late(now) > 0
+        return starts_waiting and self.queue.count_late(now) > 0
 
     def has_room(self) -> bool:
         """Tell whether the window lets one more attempt go."""
@@ -296,24 +298,24 @@
         return False
 
     @property
-    def holds(self) -> bool:
+    def holds_calls(self) -> bool:
         """Tell whether calls wait here until an endpoint has room."""
         return self._policy.inquiries and self._chooser.reports_stretch
 
     def may_send(
-        self, call: Call, address: str, freed: bool, now: float
+        self, call: Call, address: str, exempt: bool, now: float
     ) -> bool:
         """Tell whether a call may go to an endpoint now.
 
         The window stands in for what one entry does not know of the
         others' calls. Where endpoints tell, they are believed, unless none
-        could be asked for a ``freed`` call. A last slot, which is left
+        could be asked for a ``exempt`` call. A last slot, which is left
         when no other was found, is taken by calls that can be in time
         there in spite of its slowness; others would be late in it, and
         wait for one that others leave.
         """
-        slot = self.planner.slot(address, now)
-        if slot > NO_SLOT and self._yields(call, now):
+        slot = self.planner.slot_kind(address, now)
+        if slot > NO_SLOT and self._should_yield(call, now):
             endpoint = self._endpoints[address]
             return endpoint.spare_slots > min(1, endpoint.slots - 1)
         if slot == FREE_SLOT:
@@ -321,13 +323,13 @@
         if slot == LAST_SLOT:
             takes_s = self._typical_s(call) * self._chooser.fullness.factor
             in_time = now + takes_s <= call.objective_at
-            if in_time or not self._chooser.fullness.matters:
+            if in_time or not self._chooser.fullness.is_significant:
                 return True
-        if self.holds and not freed:
+        if self.holds_calls and not exempt:
             return False
         return self.has_room()
 
-    def _yields(self, call: Call, now: float) -> bool:
+    def _should_yield(self, call: Call, now: float) -> bool:
         """Tell whether a call that is late leaves a slot to those in time.
 
         After a loss of power callers come back all at once, each late
@@ -359,7 +361,7 @@
 
         Empty where the service was gone from the configuration meanwhile.
         """
-        sent = self._under_way.get((call.call_id, attempt))
+        sent = self._in_flight.get((call.call_id, attempt))
         if sent is None:
             return ""
         announcement = sent.endpoint.announcement
@@ -395,7 +397,7 @@
             return False
         if self.too_late(call, now) or not self.has_room():
             return False
-        return self._chooser.load_per_slot <= HEDGE_MOST_LOAD
+        return self._chooser.load_per_slot <= HEDGE_MAX_LOAD
 
     def choose_hedge(self, call: Call, now: float) -> str | None:
         """Return where to send a late call besides, if anywhere."""
@@ -410,8 +412,11 @@
         """Give after what time a call's first attempt is late."""
         if not self._policy.hedging or len(call.attempts) > 1:
             return None
-        usual = self._usual_of(call)
-        return max(usual.slow.value_s, HEDGE_LEAST_FACTOR * usual.half.value_s)
+        rule_latency = self._latency_of(call)
+        return max(
+            rule_latency.tail.value_s,
+            HEDGE_MIN_FACTOR * rule_latency.median.value_s,
+        )
 
     def may_retry(self, call: Call) -> bool:
         """Take one retry from the rule's attempts and the budget."""
@@ -420,27 +425,27 @@
         first_try = call.is_first_try and self._policy.returning
         return self._extra.spend_retry(first_try)
 
-    def take_send(self, call: Call, attempt: int, now: float) -> None:
+    def record_attempt(self, call: Call, attempt: int, now: float) -> None:
         """Count an attempt that starts."""
         if self._sent_at is not None and self.queue:
             # While nobody waited nothing was sent for want of calls, not of
             # room: such a pause, taken for a gap, refused the next calls.
             waited_s = now - max(self._sent_at, call.arrived_at)
-            self._gap.learn(min(waited_s, GAP_MOST_S))
+            self._send_gap.record(min(waited_s, MAX_SEND_GAP_S))
         self._sent_at = now
         endpoint = self._endpoints[call.attempts[attempt]]
-        self._under_way[call.call_id, attempt] = SentAttempt(
+        self._in_flight[call.call_id, attempt] = SentAttempt(
             endpoint, call.sent_at(attempt)
         )
         endpoint.count_send(now)
 
-    def take_cancel(self, call: Call, attempt: int, now: float) -> None:
+    def record_cancel(self, call: Call, attempt: int, now: float) -> None:
         """Count an attempt that ends without an answer."""
         sent = self._release(call.call_id, attempt)
         if sent is not None and self._policy.latency:
             sent.endpoint.record_late(now - call.sent_at(attempt), now)
 
-    def take_result(self, call: Call, result: Result, now: float) -> None:
+    def record_result(self, call: Call, result: Result, now: float) -> None:
         """Learn from how an attempt ended."""
         sent = self._release(call.call_id, result.attempt)
         if sent is None:
@@ -453,14 +458,14 @@
         elif result.outcome == ANSWERED:
             self._chooser.record_no_report()
         elif result.shed:
-            self._take_silent_shed(endpoint, now)
+            self._record_shed_without_load(endpoint, now)
         if result.outcome == ANSWERED and not result.failed:
-            self._take_answer(endpoint, result, now)
+            self._record_answer(endpoint, result, now)
             if not endpoint.is_cold(now):
                 # What a cold endpoint takes is usual for nothing.
-                self._learn_usual(call, sent, result.latency_s)
+                self._record_latency(call, sent, result.latency_s)
             return
-        if not self._is_to_blame(call, result):
+        if not self._is_endpoint_failure(call, result):
             return
         if result.outcome == NOT_RUN:
             self._mute(endpoint, now)
@@ -504,36 +509,38 @@
         suspect.probed_at = now
         return suspect.address
 
-    def _take_answer(
+    def _record_answer(
         self, endpoint: Endpoint, result: Result, now: float
     ) -> None:
         self._chooser.record_answer(endpoint, result.latency_s, now)
-        self._half.learn(result.latency_s)
+        self._median.record(result.latency_s)
         # Where endpoints tell no load, only those that shed are crowded.
         crowded = result.load is not None and self._chooser.is_overloaded(
             endpoint, result.load
         )
-        self._learn_window(crowded, now)
+        self._record_congestion(crowded, now)
 
     def _mute(self, endpoint: Endpoint, now: float) -> None:
         if self._policy.silence:
             endpoint.mark_unreachable(now)
 
-    def _take_silent_shed(self, endpoint: Endpoint, now: float) -> None:
+    def _record_shed_without_load(
+        self, endpoint: Endpoint, now: float
+    ) -> None:
         """Learn from "not run" where endpoints do not tell their load.
 
         All slots are taken, and calls wait there besides.
         """
         endpoint.record_load(endpoint.slots + endpoint.in_flight, now)
-        self._learn_window(True, now)
+        self._record_congestion(True, now)
 
-    def _learn_window(self, crowded: bool, now: float) -> None:
-        self._window.learn(crowded, self.in_flight, now, self._half.value_s)
+    def _record_congestion(self, crowded: bool, now: float) -> None:
+        self._window.record(crowded, self.in_flight, now, self._median.value_s)
 
     def _may_probe(self, service: Service) -> bool:
         return service.probes_per_s > 0 and self._policy.probing
 
-    def _is_to_blame(self, call: Call, result: Result) -> bool:
+    def _is_endpoint_failure(self, call: Call, result: Result) -> bool:
         """Tell whether a failed attempt says anything of the endpoint."""
         if result.outcome == CANCELLED:
             return False
@@ -546,42 +553,42 @@
         # as failures, a few such calls would eject healthy endpoints.
         given_s = call.deadline_at - call.sent_at(result.attempt)
         timed_out = result.latency_s >= given_s * TIMED_OUT_SHARE
-        return not timed_out or given_s >= self._usual_of(call).slow.value_s
+        return not timed_out or given_s >= self._latency_of(call).tail.value_s
 
     @property
-    def _gap_s(self) -> float:
+    def _send_gap_s(self) -> float:
         """Estimate the time between two sends when calls wait."""
-        if self.holds:
-            return self._gap.value
+        if self.holds_calls:
+            return self._send_gap.value
         return self._chooser.latency_s / self._window.size
 
     def _typical_s(self, call: Call) -> float:
         # Were a slow spell to raise this over the whole deadline, nothing
         # would be sent any more and so nothing faster ever learned.
-        most_s = (call.deadline_at - call.arrived_at) * TYPICAL_MOST_SHARE
-        return min(most_s, self._usual_of(call).half.value_s)
+        most_s = (call.deadline_at - call.arrived_at) * TYPICAL_MAX_SHARE
+        return min(most_s, self._latency_of(call).median.value_s)
 
-    def _learn_usual(
+    def _record_latency(
         self, call: Call, sent: SentAttempt, latency_s: float
     ) -> None:
-        usual = self._usual_of(call)
-        usual.learn(latency_s)
-        if sent.full is not None and self._policy.fullness:
-            multiple = latency_s / usual.half.value_s
-            self._chooser.fullness.learn(sent.full, multiple)
-
-    def _usual_of(self, call: Call) -> RuleLatency:
-        usual = self._usual.get(call.rule.name)
-        if usual is None:
-            usual = RuleLatency(call.rule.objective_s)
-            self._usual[call.rule.name] = usual
-        return usual
+        rule_latency = self._latency_of(call)
+        rule_latency.record(latency_s)
+        if sent.nearly_full is not None and self._policy.fullness:
+            multiple = latency_s / rule_latency.median.value_s
+            self._chooser.fullness.record(sent.nearly_full, multiple)
+
+    def _latency_of(self, call: Call) -> RuleLatency:
+        rule_latency = self._rule_latencies.get(call.rule.name)
+        if rule_latency is None:
+            rule_latency = RuleLatency(call.rule.objective_s)
+            self._rule_latencies[call.rule.name] = rule_latency
+        return rule_latency
 
     def _release(self, call_id: int, attempt: int) -> SentAttempt | None:
         # Kept by attempt, not by address: an endpoint that left and came
         # back would otherwise be credited with the ends of calls that
         # went to the process before it, and get more than its slots.
-        sent = self._under_way.pop((call_id, attempt), None)
+        sent = self._in_flight.pop((call_id, attempt), None)
         if sent is not None:
             sent.endpoint.in_flight -= 1
         return sent
--- a/packages/core/nutmegchute_core/queues.py
+++ b/packages/core/nutmegchute_core/queues.py
@@ -19,11 +19,11 @@
     who is late already is served when nobody else waits.
     """
 
-    __slots__ = ("_heap", "_late", "_late_at", "_waiting")
+    __slots__ = ("_heap", "_late_at", "_late_heap", "_waiting")
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
-        self._late: list[tuple[float, int]] = []
+        self._late_heap: list[tuple[float, int]] = []
         self._late_at: dict[int, float] = {}
         self._waiting: dict[int, str] = {}
 
@@ -47,7 +47,7 @@
                 count += 1
         return count
 
-    def late(self, now: float) -> int:
+    def count_late(self, now: float) -> int:
         """Count the calls that cannot be answered within their objective."""
         return sum(late_at < now for late_at in self._late_at.values())
 
@@ -74,18 +74,18 @@
         del self._late_at[call_id]
         return True
 
-    def first(self, now: float = -inf) -> int | None:
+    def peek(self, now: float = -inf) -> int | None:
         """Return the call that is next, if any; it stays."""
         while self._heap:
             key, call_id = self._heap[0]
             if call_id in self._waiting:
                 if self._late_at[call_id] >= now:
                     return call_id
-                heapq.heappush(self._late, (key, call_id))
+                heapq.heappush(self._late_heap, (key, call_id))
             heapq.heappop(self._heap)
-        while self._late:
-            call_id = self._late[0][1]
+        while self._late_heap:
+            call_id = self._late_heap[0][1]
             if call_id in self._waiting:
                 return call_id
-            heapq.heappop(self._late)
+            heapq.heappop(self._late_heap)
         return None
--- a/packages/core/nutmegchute_core/rule_latencies.py
+++ b/packages/core/nutmegchute_core/rule_latencies.py
@@ -7,8 +7,8 @@
 
 HEDGE_QUANTILE = 0.92
 # What is taken for usual and for slow at first, as shares of the objective.
-FIRST_HALF = 0.4
-FIRST_SLOW = 0.6
+INITIAL_MEDIAN_SHARE = 0.4
+INITIAL_TAIL_SHARE = 0.6
 
 
 class RuleLatency:
@@ -17,19 +17,19 @@
     ``deadline_s`` is the longest deadline that a caller gave.
     """
 
-    __slots__ = ("deadline_s", "half", "slow")
+    __slots__ = ("deadline_s", "median", "tail")
 
     def __init__(self, objective_s: float) -> None:
         # Until answers tell more: an entry sees few calls of a rule, and a
         # guess that is too low would hedge each of the first ones.
-        self.half = Quantile(0.5, objective_s * FIRST_HALF)
-        self.slow = Quantile(HEDGE_QUANTILE, objective_s * FIRST_SLOW)
+        self.median = Quantile(0.5, objective_s * INITIAL_MEDIAN_SHARE)
+        self.tail = Quantile(HEDGE_QUANTILE, objective_s * INITIAL_TAIL_SHARE)
         self.deadline_s = 0.0
 
-    def learn(self, latency_s: float) -> None:
+    def record(self, latency_s: float) -> None:
         """Take the time of an answer, in seconds."""
-        self.half.learn(latency_s)
-        self.slow.learn(latency_s)
+        self.median.record(latency_s)
+        self.tail.record(latency_s)
 
 
 class SentAttempt:
@@ -38,12 +38,12 @@
     ``full`` is None where the endpoint's load was not known.
     """
 
-    __slots__ = ("endpoint", "full")
+    __slots__ = ("endpoint", "nearly_full")
 
     def __init__(self, endpoint: Endpoint, now: float) -> None:
         self.endpoint = endpoint
-        self.full: bool | None = None
+        self.nearly_full: bool | None = None
         age_s = endpoint.report_age_s(now)
         if age_s is not None and age_s <= FRESH_S:
             load = endpoint.in_flight + endpoint.reported_others
-            self.full = is_nearly_full(endpoint, load)
+            self.nearly_full = is_nearly_full(endpoint, load)
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -229,26 +229,26 @@
     """
     slowing = Fullness()
     steady = Fullness()
-    assert not slowing.matters
+    assert not slowing.is_significant
     for turn in range(60):
-        slowing.learn(False, 1.0 + turn % 3 / 10)
-        slowing.learn(True, 1.7 + turn % 3 / 10)
-        steady.learn(False, 1.0 + turn % 3 / 10)
-        steady.learn(True, 1.0 + turn % 3 / 10)
-    assert slowing.matters
-    assert not steady.matters
+        slowing.record(False, 1.0 + turn % 3 / 10)
+        slowing.record(True, 1.7 + turn % 3 / 10)
+        steady.record(False, 1.0 + turn % 3 / 10)
+        steady.record(True, 1.0 + turn % 3 / 10)
+    assert slowing.is_significant
+    assert not steady.is_significant
 
 
 def test_slowdown_is_tried_again() -> None:
     """Forget a slowdown that nothing can contradict any more."""
     fullness = Fullness()
     for _ in range(20):
-        fullness.learn(True, 1.6)
-        fullness.learn(False, 1.0)
-    assert fullness.matters
+        fullness.record(True, 1.6)
+        fullness.record(False, 1.0)
+    assert fullness.is_significant
     for _ in range(400):
-        fullness.learn(False, 1.0)
-    assert not fullness.matters
+        fullness.record(False, 1.0)
+    assert not fullness.is_significant
 
 
 def test_retry_looks_for_room_by_itself() -> None:
--- a/tests/test_latencies.py
+++ b/tests/test_latencies.py
@@ -15,7 +15,7 @@
         latency_s = random.expovariate(1 / 0.02)
         if step >= 5000 and latency_s > quantile.value_s:
             later += 1
-        quantile.learn(latency_s)
+        quantile.record(latency_s)
     assert 0.06 < later / 15000 < 0.10
 
 
@@ -23,16 +23,16 @@
     """When all get five times slower, hedges do not run wild for long."""
     quantile = Quantile(0.92)
     for _ in range(200):
-        quantile.learn(0.02)
+        quantile.record(0.02)
     late = 0
     for _ in range(200):
         late += quantile.value_s < 0.1
-        quantile.learn(0.1)
+        quantile.record(0.1)
     assert late < 40
 
 
 def test_mean_takes_the_first_value_whole() -> None:
     """A guess made before any answer does not linger."""
     mean = Mean(99.0)
-    mean.learn(0.02)
+    mean.record(0.02)
     assert abs(mean.value - 0.02) < 1e-9
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
     window = grown()
     before = window.size
     for _ in range(5):
-        window.learn(crowded=True, in_flight=16, now=1.0, pause_s=0.02)
+        window.record(crowded=True, in_flight=16, now=1.0, pause_s=0.02)
     assert window.size == before * SHRINK_FACTOR
 
 
@@ -29,7 +29,7 @@
     """Endpoints that report high loads for ever do not stop an entry."""
     window = grown()
     for step in range(500):
-        window.learn(crowded=True, in_flight=9, now=float(step), pause_s=0.1)
+        window.record(crowded=True, in_flight=9, now=float(step), pause_s=0.1)
     assert window.size == 8.0 * MIN_SHARE
 
 
@@ -37,9 +37,9 @@
     """A quiet night does not open the window for the morning's rush."""
     window = grown()
     before = window.size
-    window.learn(crowded=False, in_flight=0, now=1.0, pause_s=0.1)
+    window.record(crowded=False, in_flight=0, now=1.0, pause_s=0.1)
     assert window.size == before
-    window.learn(crowded=False, in_flight=15, now=1.0, pause_s=0.1)
+    window.record(crowded=False, in_flight=15, now=1.0, pause_s=0.1)
     assert window.size > before
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -8,7 +8,7 @@
     """Take every call in turn."""
     found: list[int] = []
     while True:
-        call_id = queue.first()
+        call_id = queue.peek()
         if call_id is None:
             return found
         queue.remove(call_id)
