--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -24,7 +24,7 @@
 import msgspec
 import urllib3
 from docopt import docopt
-from nutmegchute_core.fleets import FollowReply
+from nutmegchute_core.follow_protocol import FollowReply
 from nutmegchute_core.nodes import Node
 from nutmegchute_core.trees import Change
 from nutmegchute_daemon.events import configure_logs
--- a/packages/core/nutmegchute_core/commands.py
+++ b/packages/core/nutmegchute_core/commands.py
@@ -4,8 +4,8 @@
 
 from .claims import ClaimBatch
 from .evacuations import EvacuationOrder
-from .fleets import Enroll
-from .fleets import Withdraw
+from .follow_protocol import Enroll
+from .follow_protocol import Withdraw
 from .memberships import Reconfigure
 from .quarantines import Lift
 from .quarantines import QuarantineBatch
--- a/packages/core/nutmegchute_core/fleets.py
+++ b/packages/core/nutmegchute_core/follow_protocol.py
@@ -70,7 +70,7 @@
     entry: str
 
 
-class Fleet:
+class EntryProgress:
     """Record what each entry applied and when it last asked this leader.
 
     A leader starts one when it takes over. Entries that it has not heard
--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -2,12 +2,12 @@
 
 import msgspec
 
-from .fleets import Enroll
-from .fleets import Fleet
-from .fleets import FollowReply
-from .fleets import FollowRequest
-from .fleets import HOLD_S
-from .fleets import Withdraw
+from .follow_protocol import Enroll
+from .follow_protocol import EntryProgress
+from .follow_protocol import FollowReply
+from .follow_protocol import FollowRequest
+from .follow_protocol import HOLD_S
+from .follow_protocol import Withdraw
 from .nodes import Node
 from .quarantines import QuarantineUpdate
 from .replicas import LEADER
@@ -16,7 +16,7 @@
 FORGET_S = 3600.0
 
 
-class Question:
+class PendingPoll:
     """Hold one entry's open question and what confirms its answer.
 
     ``wanted`` is the round a quorum must answer; None while the entry's
@@ -36,17 +36,17 @@
 class LongPolls:
     """Take questions by ticket; advance gives the answers that are due."""
 
-    __slots__ = ("_fleet", "_open", "_term")
+    __slots__ = ("_progress", "_open", "_term")
 
     def __init__(self) -> None:
-        self._fleet = Fleet(0.0)
-        self._open: dict[int, Question] = {}
+        self._progress = EntryProgress(0.0)
+        self._open: dict[int, PendingPoll] = {}
         self._term: int | None = None
 
     @property
-    def fleet(self) -> Fleet:
+    def progress(self) -> EntryProgress:
         """Give what this leader knows of the entries."""
-        return self._fleet
+        return self._progress
 
     def enqueue(
         self, ticket: int, request: FollowRequest, node: Node, now: float
@@ -57,9 +57,9 @@
             return redirect(node)
         if request.leaving:
             node.propose(Withdraw(request.entry))
-            self._fleet.forget(request.entry)
+            self._progress.forget(request.entry)
             return redirect(node)
-        self._fleet.record(request, now)
+        self._progress.record(request, now)
         wanted: int | None = None
         if request.entry in node.machine.entries:
             wanted = node.replica.begin_read()
@@ -68,7 +68,7 @@
             # leader, which then waits for it or for its lease to lapse.
             node.propose(Enroll(request.entry))
         hold_until = now + HOLD_S if request.hold else now
-        self._open[ticket] = Question(request, wanted, hold_until)
+        self._open[ticket] = PendingPoll(request, wanted, hold_until)
         return None
 
     def advance(self, node: Node, now: float) -> dict[int, FollowReply]:
@@ -90,14 +90,14 @@
         """Tell whether no live entry still acts on an older index."""
         if not node.replica.is_ready or self._term != node.replica.term:
             return False
-        return self._fleet.in_force(index, node.machine.entries, now)
+        return self._progress.in_force(index, node.machine.entries, now)
 
     def withdraw_silent(self, node: Node, now: float) -> None:
         """Withdraw the entries that have long been silent."""
         if not node.replica.is_ready or self._term != node.replica.term:
             return
         for entry in sorted(node.machine.entries):
-            if self._fleet.silence_s(entry, now) > FORGET_S:
+            if self._progress.silence_s(entry, now) > FORGET_S:
                 node.propose(Withdraw(entry))
 
     def _observe(self, node: Node, now: float) -> dict[int, FollowReply]:
@@ -106,12 +106,12 @@
         if term == self._term:
             return {}
         self._term = term
-        self._fleet = Fleet(now)
+        self._progress = EntryProgress(now)
         answers = {ticket: redirect(node) for ticket in self._open}
         self._open = {}
         return answers
 
-    def _is_confirmed(self, question: Question, node: Node) -> bool:
+    def _is_confirmed(self, question: PendingPoll, node: Node) -> bool:
         # A leader that was deposed without hearing of it would answer with
         # an older tree, and a restarted entry would act on it.
         if question.wanted is not None:
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -11,8 +11,8 @@
 from .evacuations import EvacuationOutcome
 from .evacuations import Evacuations
 from .evacuations import EvacuationState
-from .fleets import Enroll
-from .fleets import Withdraw
+from .follow_protocol import Enroll
+from .follow_protocol import Withdraw
 from .ledgers import Ledger
 from .ledgers import LedgerState
 from .memberships import Reconfigure
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -7,7 +7,7 @@
 from .directories import EntryInfo
 from .directories import exclude_evacuated
 from .evacuations import EvacuationUpdate
-from .fleets import FollowReply
+from .follow_protocol import FollowReply
 from .histories import Delta
 from .mirrors import NO_WATERMARK
 from .mirrors import Watermark
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -17,7 +17,7 @@
 from nutmegchute_core.claims import Settlement
 from nutmegchute_core.directories import Directory
 from nutmegchute_core.directories import EntryInfo
-from nutmegchute_core.fleets import FollowReply
+from nutmegchute_core.follow_protocol import FollowReply
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.rosters import Roster
 from nutmegchute_core.rules import read_services
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
 from nutmegchute_core.long_polls import LongPolls
 from nutmegchute_core.nodes import Node
 
@@ -43,7 +43,7 @@
     @property
     def applied(self) -> dict[str, int]:
         """Map each entry that asks here to the tree it has in force."""
-        return self._long_polls.fleet.applied()
+        return self._long_polls.progress.applied()
 
     async def ask(self, request: FollowRequest) -> FollowReply:
         """Take a question and wait for its answer."""
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -6,12 +6,12 @@
 
 import msgspec
 from nutmegchute_core.evacuations import EvacuationUpdate
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.fleets import HOLD_S
-from nutmegchute_core.fleets import RelayReply
-from nutmegchute_core.fleets import TREE_LEASE_S
-from nutmegchute_core.fleets import TreeLease
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
+from nutmegchute_core.follow_protocol import HOLD_S
+from nutmegchute_core.follow_protocol import RelayReply
+from nutmegchute_core.follow_protocol import TREE_LEASE_S
+from nutmegchute_core.follow_protocol import TreeLease
 from nutmegchute_core.quarantines import QuarantineUpdate
 
 from .events import Event
--- a/packages/daemon/nutmegchute_daemon/methods.py
+++ b/packages/daemon/nutmegchute_daemon/methods.py
@@ -4,9 +4,9 @@
 the whole of the control state with them.
 """
 
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.fleets import RelayReply
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
+from nutmegchute_core.follow_protocol import RelayReply
 from nutmegchute_core.peers import Acknowledgement
 from nutmegchute_core.peers import Confirmation
 from nutmegchute_core.peers import PeerReply
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from nutmegchute_core.fleets import FollowReply
+from nutmegchute_core.follow_protocol import FollowReply
 from nutmegchute_core.patches import apply_patch
 from nutmegchute_core.patches import Step
 
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -8,9 +8,9 @@
 from nutmegchute_core.admissions import due_change
 from nutmegchute_core.errors import CoreError
 from nutmegchute_core.errors import NotLeaderError
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.fleets import TreeLease
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
+from nutmegchute_core.follow_protocol import TreeLease
 from nutmegchute_core.formations import Formation
 from nutmegchute_core.formations import Introduction
 from nutmegchute_core.join_requests import JoinRequests
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 import pytest
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
-from nutmegchute_core.fleets import RelayReply
-from nutmegchute_core.fleets import TREE_LEASE_S
-from nutmegchute_core.fleets import TreeLease
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
+from nutmegchute_core.follow_protocol import RelayReply
+from nutmegchute_core.follow_protocol import TREE_LEASE_S
+from nutmegchute_core.follow_protocol import TreeLease
 from nutmegchute_daemon import followers
 from nutmegchute_daemon.followers import Follower
 from nutmegchute_daemon.methods import FOLLOW
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,7 +2,7 @@
 
 import msgspec
 from nutmegchute_core.commands import Command
-from nutmegchute_core.fleets import Enroll
+from nutmegchute_core.follow_protocol import Enroll
 from nutmegchute_core.machines import MachineState
 from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Membership
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -3,9 +3,9 @@
 import pytest
 from nutmegchute_core.commands import NoOp
 from nutmegchute_core.errors import ReconfigurationError
-from nutmegchute_core.fleets import Enroll
-from nutmegchute_core.fleets import FollowReply
-from nutmegchute_core.fleets import FollowRequest
+from nutmegchute_core.follow_protocol import Enroll
+from nutmegchute_core.follow_protocol import FollowReply
+from nutmegchute_core.follow_protocol import FollowRequest
 from nutmegchute_core.logs import Log
 from nutmegchute_core.long_polls import LongPolls
 from nutmegchute_core.memberships import Member
