--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from docopt import docopt
-from nutmegchute_core.routes import LARGE_KEPT_BYTES
+from nutmegchute_core.routes import LARGE_BUFFER_BYTES
 from nutmegchute_fakes import faulty_upstreams
 from nutmegchute_fakes.edges import Edge
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
@@ -40,7 +40,7 @@
     edge = Edge(
         [upstream], threads=THREADS, slots=SLOTS, deadline_ms=DEADLINE_MS
     )
-    edge.take_bodies(body_bytes, LARGE_KEPT_BYTES)
+    edge.take_bodies(body_bytes, LARGE_BUFFER_BYTES)
     pipe.send(edge.address)
     while pipe.recv() != "stop":
         usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -588,8 +588,8 @@
             deciders.append(OracleEntry(oracle, entry))
             continue
         balancer = Balancer(seed * 100 + entry, zone, _policy(way), str(entry))
-        balancer.warm_ups.bound(WARM_UP_OVERAGE, WARM_UP_SLACK)
-        balancer.warm_ups.take(group, 0.0)
+        balancer.warm_ups.set_margin(WARM_UP_OVERAGE, WARM_UP_SLACK)
+        balancer.warm_ups.update_group(group, 0.0)
         balancer.configure({SERVICE: Service(SERVICE, document)}, 0.0)
         limit = ExtraLimit(EXTRA_RATIO, EXTRA_FIXED)
         balancer.limit_extra(limit.share, limit.burst(len(weights)))
--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -209,7 +209,9 @@
             process = ""
             if result.crashed:
                 process = pool.process_of(call, result.attempt)
-            releases = self._isolation.learn(call, result, process, now)
+            releases = self._isolation.finish_attempt(
+                call, result, process, now
+            )
             pool.record_result(call, result, now)
             self._release(releases, now, actions)
         self._resolve_attempt(pool, call, result, now, actions)
@@ -223,7 +225,7 @@
     ) -> list[Action]:
         """Take the requests that may crash endpoints, as control tells."""
         actions: list[Action] = []
-        self._release(self._isolation.take_news(news, now), now, actions)
+        self._release(self._isolation.apply_update(news, now), now, actions)
         return actions
 
     def apply_ruling(
@@ -264,7 +266,7 @@
         actions: list[Action] = []
         pool = self._pools.get(call.service)
         self._cancel(pool, call, now, actions)
-        self._isolation.forget(call, call.state != QUEUED)
+        self._isolation.end_call(call, call.state != QUEUED)
         if pool is not None:
             pool.queue.remove(call_id)
             self._dispatch(pool, now, actions)
@@ -303,7 +305,7 @@
             elif kind == REQUERY:
                 self._requery(call, now, actions)
             elif kind == REQUEST_TRIAL:
-                self._isolation.seek(call.key, now)
+                self._isolation.request_trial(call.key, now)
         for name, pool in self._pools.items():
             if pool.queue:
                 self._dispatch(pool, now, actions)
@@ -662,7 +664,7 @@
         retry_after_s: float | None = None,
     ) -> Action:
         del self._calls[call.call_id]
-        self._isolation.forget(call, call.state != QUEUED)
+        self._isolation.end_call(call, call.state != QUEUED)
         if call.may_have_run:
             # An earlier attempt was lost after bytes had left: "not run"
             # could be false, and a loan repeated on its word would run
@@ -678,13 +680,13 @@
         """Tell whether a call is a suspect's; those are sent once a time."""
         if call.trial_token:
             return True
-        return self._isolation.look(call, now).outcome != FREE
+        return self._isolation.check(call, now).outcome != FREE
 
     def _hold_or_refuse(
         self, pool: Pool, call: Call, now: float, actions: list[Action]
     ) -> bool:
         """Hold or refuse a call that may not simply go; tell if it was."""
-        ruling = self._isolation.look(call, now)
+        ruling = self._isolation.check(call, now)
         if ruling.outcome == FREE:
             return False
         pool.queue.remove(call.call_id)
--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -71,7 +71,7 @@
         return self._version
 
     @property
-    def complete(self) -> bool:
+    def has_synced(self) -> bool:
         """Tell whether any replica has told its endpoints."""
         return any(one.generation for one in self._sources.values())
 
@@ -87,7 +87,7 @@
         """Map the replicas to the epoch and generation held of each."""
         return {replica: self.watermark(replica) for replica in self._sources}
 
-    def vouch(self, silent: list[str], now: float) -> bool:
+    def refresh(self, silent: list[str], now: float) -> bool:
         """Take word that all replicas but the silent ones are heard.
 
         Return whether something changed.
@@ -97,7 +97,7 @@
                 source.heard_at = now
         return self.expire(now)
 
-    def hear(self, replica: str, delta: Delta, now: float) -> bool:
+    def apply(self, replica: str, delta: Delta, now: float) -> bool:
         """Take a replica's word; return whether something changed."""
         source = self._sources.setdefault(replica, Source())
         source.heard_at = now
@@ -129,7 +129,7 @@
         self._version += 1
         return True
 
-    def leave(self, instance: str, address: str, now: float) -> bool:
+    def remove_instance(self, instance: str, address: str, now: float) -> bool:
         """Take word that an instance is no longer at an address.
 
         One that started again elsewhere meanwhile is not meant.
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -12,7 +12,7 @@
 from .latencies import INITIAL_LATENCY_S
 from .latencies import Mean
 from .policies import Policy
-from .warmups import SLOWDOWN
+from .warmups import COLD_SLOWDOWN
 from .warmups import WarmUpLimit
 from .warmups import WarmUps
 
@@ -246,7 +246,7 @@
         if endpoint.stalled or self._stalls:
             score *= 1.0 + SUSPECT_FACTOR * self._suspicion(endpoint, now)
         if endpoint.is_cold(now):
-            score *= SLOWDOWN
+            score *= COLD_SLOWDOWN
         elif endpoint.joined_at is not None:
             score *= endpoint.warm_up_factor(now)
         return score
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -55,11 +55,11 @@
         """Take what control must hear."""
         return self._suspects.drain()
 
-    def look(self, call: Call, now: float) -> Ruling:
+    def check(self, call: Call, now: float) -> Ruling:
         """Tell whether a call may simply go; WAIT: only on trial."""
         if call.trial_token or not self._suspects.any:
             return Ruling(FREE)
-        return self._suspects.look(call.key, now)
+        return self._suspects.check(call.key, now)
 
     def holds(self, call: Call) -> bool:
         """Tell whether a call waits for a trial."""
@@ -69,10 +69,10 @@
         """Let a call wait for a trial; False says that too many do."""
         if not self._trials.hold(call):
             return False
-        self.seek(call.key, now)
+        self.request_trial(call.key, now)
         return True
 
-    def seek(self, key: Key, now: float) -> None:
+    def request_trial(self, key: Key, now: float) -> None:
         """Ask control for a trial, if a call waits and none asks."""
         call = self._trials.next(key)
         if call is None:
@@ -82,13 +82,15 @@
         self._trials.ask(call, token)
         self._suspects.add(TrialRequest(*key, token, left_s))
 
-    def take_news(self, news: QuarantineUpdate, now: float) -> list[Release]:
+    def apply_update(
+        self, news: QuarantineUpdate, now: float
+    ) -> list[Release]:
         """Take the requests that may crash endpoints, as control tells."""
         releases: list[Release] = []
         if not self._suspects.take(news, now):
             return releases
         for key in self._trials.keys:
-            ruling = self._suspects.look(key, now)
+            ruling = self._suspects.check(key, now)
             if ruling.outcome != WAIT:
                 releases += self._release(key, ruling)
         return releases
@@ -120,7 +122,7 @@
         self._trials.wait(key)
         return self._release(key, ruling)
 
-    def learn(
+    def finish_attempt(
         self, call: Call, result: Result, process: str, now: float
     ) -> list[Release]:
         """Learn from an attempt's end whether a request crashes endpoints.
@@ -142,10 +144,10 @@
             self._suspects.end_trial(key)
         if trial:
             self._trials.end(call)
-            self.seek(key, now)
+            self.request_trial(key, now)
         return releases
 
-    def forget(self, call: Call, sent: bool) -> None:
+    def end_call(self, call: Call, sent: bool) -> None:
         """Forget a call that has ended; ``sent`` tells if it was out."""
         key = call.key
         self._trials.end(call)
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -23,7 +23,7 @@
 PROOFS = 2
 # A quarantine ends, since a release may have mended the service; then one
 # send decides. Each one lasts twice as long as the one before.
-FIRST_S = 3600.0
+FIRST_QUARANTINE_S = 3600.0
 LONGEST_S = 86_400.0
 # A request whose crash was forgiven is forgotten after so long.
 WATCHED_S = 60.0
@@ -54,7 +54,7 @@
     process: str
     trial: int
     sent_ago_s: float
-    forgivable: bool = False
+    answered_before: bool = False
 
 
 class Acquittal(msgspec.Struct, frozen=True, tag=True, array_like=True):
@@ -137,7 +137,7 @@
     """Tell what became of a batch, and whom it quarantined."""
 
     rulings: list[Ruling]
-    quarantined: list["Evidence"] = []
+    quarantined: list["CaseStatus"] = []
 
 
 class Lifted(msgspec.Struct, frozen=True):
@@ -146,7 +146,7 @@
     found: bool
 
 
-class Evidence(msgspec.Struct, frozen=True):
+class CaseStatus(msgspec.Struct, frozen=True):
     """Show operators a case.
 
     ``left_s`` is how long a quarantine lasts on; ``processes`` names the
@@ -160,7 +160,7 @@
     processes: list[str] = []
 
 
-class Notice(msgspec.Struct, frozen=True, array_like=True):
+class CaseUpdate(msgspec.Struct, frozen=True, array_like=True):
     """Tell entries of a case; ``left_s`` is what a quarantine lasts on."""
 
     service: str
@@ -180,7 +180,7 @@
 
     base: int
     index: int
-    cases: list[Notice]
+    cases: list[CaseUpdate]
     ended: list[Key] = []
 
 
@@ -228,8 +228,8 @@
 
     def __init__(
         self,
-        most_suspects: int = MOST_SUSPECTS,
-        most_quarantined: int = MOST_QUARANTINED,
+        max_suspects: int = MOST_SUSPECTS,
+        max_quarantined: int = MOST_QUARANTINED,
     ) -> None:
         self._cases: OrderedDict[Key, Case] = OrderedDict()
         self._ended: OrderedDict[Key, int] = OrderedDict()
@@ -237,8 +237,8 @@
         self._forgotten = 0
         self._index = 0
         self._time_s = 0.0
-        self._most_suspects = most_suspects
-        self._most_quarantined = most_quarantined
+        self._most_suspects = max_suspects
+        self._most_quarantined = max_quarantined
 
     @property
     def index(self) -> int:
@@ -274,7 +274,7 @@
         for case in self._cases.values():
             if case.changed > base:
                 cases.append(
-                    Notice(
+                    CaseUpdate(
                         case.service,
                         case.fingerprint,
                         case.state,
@@ -284,7 +284,7 @@
         ended = [key for key, at in self._ended.items() if at > base]
         return QuarantineUpdate(base, self._index, cases, ended)
 
-    def evidence(self) -> list[Evidence]:
+    def case_statuses(self) -> list[CaseStatus]:
         """List all cases for operators."""
         return [self._evidence(case) for case in self._cases.values()]
 
@@ -309,7 +309,7 @@
 
     def _note_changes(
         self, before: dict[Key, str], index: int
-    ) -> list[Evidence]:
+    ) -> list[CaseStatus]:
         """Date what changed; return whom it quarantined."""
         quarantined = []
         for key, case in self._cases.items():
@@ -333,8 +333,8 @@
             return 0.0
         return max(0.0, case.until_s - self._time_s)
 
-    def _evidence(self, case: Case) -> Evidence:
-        return Evidence(
+    def _evidence(self, case: Case) -> CaseStatus:
+        return CaseStatus(
             case.service,
             case.fingerprint,
             case.state,
@@ -417,12 +417,12 @@
         again = self._time_s - crash.sent_ago_s > case.since_s
         if case.state == WATCHED and again:
             case.state = SUSPECT
-        elif crash.forgivable and not again and not case.proofs:
+        elif crash.answered_before and not again and not case.proofs:
             # Another entry has seen it answered.
             case.state = WATCHED
 
     def _open(self, crash: Crash) -> None:
-        state = WATCHED if crash.forgivable else SUSPECT
+        state = WATCHED if crash.answered_before else SUSPECT
         self._cases[crash.service, crash.fingerprint] = Case(
             crash.service,
             crash.fingerprint,
@@ -438,7 +438,7 @@
         if case.proofs < PROOFS:
             return
         case.state = QUARANTINED
-        lasts_s = min(LONGEST_S, FIRST_S * 2.0**case.times)
+        lasts_s = min(LONGEST_S, FIRST_QUARANTINE_S * 2.0**case.times)
         case.until_s = self._time_s + lasts_s
         case.times += 1
         for other in self._cases.values():
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -11,8 +11,8 @@
 # Each of the 40 calls that an entry takes at once may hold that much: with
 # fifty bodies of 16 MiB at once its process grew from 42 to 90 MiB (make
 # bench-bodies), and ten callers were refused.
-KEPT_BYTES = 65536
-LARGE_KEPT_BYTES = 1024 * 1024
+BUFFER_BYTES = 65536
+LARGE_BUFFER_BYTES = 1024 * 1024
 
 # Steps of this length fill the unit interval more evenly than any other.
 GOLDEN_SHARE = 0.6180339887498949
@@ -23,7 +23,7 @@
 
     __slots__ = (
         "_host",
-        "_kept_bytes",
+        "_buffer_bytes",
         "_name",
         "_parts",
         "_path_prefix",
@@ -38,7 +38,7 @@
         self._host: str = document["host"].lower()
         self._path_prefix: str = document["path_prefix"]
         large = document.get("large_bodies", False)
-        self._kept_bytes = LARGE_KEPT_BYTES if large else KEPT_BYTES
+        self._buffer_bytes = LARGE_BUFFER_BYTES if large else BUFFER_BYTES
         self._rule = _rule(name, document)
         self._parts = _parts(document)
         self._point = phase
@@ -59,9 +59,9 @@
         return self._path_prefix
 
     @property
-    def kept_bytes(self) -> int:
+    def buffer_bytes(self) -> int:
         """Give how much of a body is kept, to be sent once more."""
-        return self._kept_bytes
+        return self._buffer_bytes
 
     @property
     def rule(self) -> Rule:
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -112,7 +112,7 @@
         }
         return True
 
-    def look(self, key: Key, now: float) -> Ruling:
+    def check(self, key: Key, now: float) -> Ruling:
         """Tell whether a request may be sent; WAIT: only on trial."""
         told = self._told.get(key)
         if told is not None and told.state == QUARANTINED:
@@ -152,11 +152,11 @@
         self, key: Key, process: str, trial: int, sent_at: float, now: float
     ) -> None:
         """Take word that an endpoint ended while a request was there."""
-        forgivable = key in self._answered and not trial
+        answered_before = key in self._answered and not trial
         self._reports.append(
-            Crash(*key, process, trial, now - sent_at, forgivable)
+            Crash(*key, process, trial, now - sent_at, answered_before)
         )
-        if forgivable:
+        if answered_before:
             del self._answered[key]
             _remember(self._forgiven, key, now)
             return
--- a/packages/core/nutmegchute_core/trials.py
+++ b/packages/core/nutmegchute_core/trials.py
@@ -5,7 +5,7 @@
 
 # Calls of suspects that wait for one service; more of them are refused, or
 # a request that is sent often would take every worker thread.
-MOST_HELD = 8
+MAX_HELD = 8
 
 
 class Trials:
@@ -36,7 +36,7 @@
         for (service, _), calls in self._held.items():
             if service == call.service:
                 waiting += len(calls)
-        if waiting >= MOST_HELD:
+        if waiting >= MAX_HELD:
             return False
         self._held.setdefault(call.key, {})[call.call_id] = call
         return True
--- a/packages/core/nutmegchute_core/warmups.py
+++ b/packages/core/nutmegchute_core/warmups.py
@@ -22,7 +22,7 @@
 # touch has the newer one, which takes 1.8 s.
 SETTLE_S = 2.5
 # Cold work takes about so many times as long as warm work.
-SLOWDOWN = 2.0
+COLD_SLOWDOWN = 2.0
 
 # Processes whose members are remembered.
 MOST_KNOWN = 4096
@@ -129,11 +129,11 @@
         return self._views[-1].group.digest
 
     @property
-    def lists(self) -> int:
+    def view_count(self) -> int:
         """Count the lists of entries that hold."""
         return len(self._views)
 
-    def bound(self, overage: float, slack: float) -> None:
+    def set_margin(self, overage: float, slack: float) -> None:
         """Take what an endpoint bears beyond the calls that it declares."""
         self._overage = overage
         self._slack = slack
@@ -142,7 +142,7 @@
         """Give the calls that a cold endpoint bears in any second."""
         return max(1, int(per_s * self._overage + self._slack))
 
-    def take(self, group: EntryGroup, now: float) -> None:
+    def update_group(self, group: EntryGroup, now: float) -> None:
         """Take a newer list of entries."""
         if group.digest == self.digest:
             return
--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -17,7 +17,7 @@
 from nutmegchute_core.claims import MISMATCH
 from nutmegchute_core.claims import OPEN
 from nutmegchute_core.claims import RAN
-from nutmegchute_core.routes import KEPT_BYTES
+from nutmegchute_core.routes import BUFFER_BYTES
 
 from .answers import CutAnswerError
 from .connections import Exchange
@@ -320,4 +320,4 @@
 
 def _keep_little(host: str, path: str) -> int:
     """Keep as much of a body as where no route says otherwise."""
-    return KEPT_BYTES
+    return BUFFER_BYTES
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -73,7 +73,7 @@
             settings.availability_zone,
             name=settings.name,
         )
-        self._balancer.warm_ups.bound(
+        self._balancer.warm_ups.set_margin(
             settings.warm_up_overage, settings.warm_up_slack_per_s
         )
         self._members = Roster(secrets.randbits(48))
@@ -291,7 +291,9 @@
         zones = {}
         for info in self._directory.usable(boot_time()):
             zones[info.name] = info.availability_zone
-        self._balancer.warm_ups.take(group_of(zones), self._loop.time())
+        self._balancer.warm_ups.update_group(
+            group_of(zones), self._loop.time()
+        )
 
     def _update_upstreams(self, live: list[Announcement]) -> None:
         now = self._loop.time()
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -18,7 +18,7 @@
 from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import MembershipChange
-from nutmegchute_core.quarantines import Evidence
+from nutmegchute_core.quarantines import CaseStatus
 from nutmegchute_core.quarantines import Lift
 from nutmegchute_core.trees import ACCEPTED
 from nutmegchute_core.trees import AuditRecord
@@ -270,8 +270,8 @@
             return records[-most:]
         return [one for one in records if one.index > after][:most]
 
-    def _cases(self) -> list[Evidence]:
-        return self._daemon.machine.quarantine.evidence()
+    def _cases(self) -> list[CaseStatus]:
+        return self._daemon.machine.quarantine.case_statuses()
 
     def _evacuated(self) -> list[Evacuation]:
         return self._daemon.machine.evacuations.evacuations
--- a/packages/daemon/nutmegchute_daemon/quarantine_servers.py
+++ b/packages/daemon/nutmegchute_daemon/quarantine_servers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from nutmegchute_core.errors import NotLeaderError
-from nutmegchute_core.quarantines import Evidence
+from nutmegchute_core.quarantines import CaseStatus
 from nutmegchute_core.quarantines import Lift
 from nutmegchute_core.quarantines import Lifted
 from nutmegchute_core.quarantines import QuarantineBatch
@@ -65,12 +65,12 @@
         return QuarantineReply(None, outcome.rulings)
 
 
-def _report(evidence: Evidence) -> None:
+def _report(case: CaseStatus) -> None:
     log(
         Event.QUARANTINED,
         "warning",
-        service=evidence.service,
-        fingerprint=evidence.fingerprint,
-        processes=evidence.processes,
-        lasts_s=evidence.left_s,
+        service=case.service,
+        fingerprint=case.fingerprint,
+        processes=case.processes,
+        lasts_s=case.left_s,
     )
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -40,15 +40,17 @@
         self.status = status
 
 
-def read_call(http: StrictRequest, body_bytes: int, kept_bytes: int) -> Ticket:
+def read_call(
+    http: StrictRequest, body_bytes: int, buffer_bytes: int
+) -> Ticket:
     """Read a call and open its ticket.
 
-    Of its body ``kept_bytes`` are read here, the rest when it is sent.
+    Of its body ``buffer_bytes`` are read here, the rest when it is sent.
 
     :raises BadRequestError: it cannot be taken as it is
     :raises BadBodyError: its body cannot be read
     """
-    service, request = _read_request(http, body_bytes, kept_bytes)
+    service, request = _read_request(http, body_bytes, buffer_bytes)
     arrival = Arrival(
         service=service,
         method=request.method,
@@ -72,7 +74,7 @@
 
 
 def _read_request(
-    http: StrictRequest, body_bytes: int, kept_bytes: int
+    http: StrictRequest, body_bytes: int, buffer_bytes: int
 ) -> tuple[str, Request]:
     check_line(http)
     # The raw target goes on as it came: decoding it would turn an
@@ -85,7 +87,7 @@
     # The ledger compares whole requests, so that a key is never taken
     # for that of another request.
     keyed = http.inheaders.get(KEY_HEADER.encode()) is not None
-    size = body_bytes + 1 if keyed else kept_bytes
+    size = body_bytes + 1 if keyed else buffer_bytes
     return service, build_request(http, "/" + rest, body_bytes, size)
 
 
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -22,7 +22,7 @@
 from nutmegchute_core.members import Process
 from nutmegchute_core.pauses import PauseDetector
 from nutmegchute_core.replica_choosers import ReplicaChooser
-from nutmegchute_core.routes import KEPT_BYTES
+from nutmegchute_core.routes import BUFFER_BYTES
 from nutmegchute_core.routes import read_routes
 from nutmegchute_core.routes import RouteTable
 from nutmegchute_core.rules import CallerLimits
@@ -139,7 +139,7 @@
         self._dispatcher.report = self._reporter.submit
         self._prober.take = self._dispatcher.record_probe
         self._handler.dispatcher = self
-        self._handler.kept = self._kept_bytes
+        self._handler.kept = self._buffer_bytes
         self._http.handle(EVERYTHING, self._handler)
         health = self.add_listener(
             "health_address", settings.health_address, HEALTH_THREADS
@@ -174,7 +174,7 @@
         """Tell whether calls can be served here."""
         if self._leaving or self._table is None:
             return False
-        return self._in_touch and self._catalog.complete
+        return self._in_touch and self._catalog.has_synced
 
     async def finish(self) -> None:
         """Leave the directory, serve those who still come, end the calls."""
@@ -228,14 +228,14 @@
             return True
         return self._pause.is_holding(now)
 
-    def _kept_bytes(self, host: str, path: str) -> int:
+    def _buffer_bytes(self, host: str, path: str) -> int:
         """Tell how much of a body to keep; worker threads call this.
 
         A table never changes once it is in force.
         """
         table = self._table
         route = None if table is None else table.find(host, path)
-        return KEPT_BYTES if route is None else route.kept_bytes
+        return BUFFER_BYTES if route is None else route.buffer_bytes
 
     def _route(self, ticket: Ticket) -> None:
         if self._table is None:
@@ -279,7 +279,7 @@
 
     def end_instance(self, instance: str, address: str) -> None:
         """Take word that an instance has left its address."""
-        if self._catalog.leave(instance, address, boot_time()):
+        if self._catalog.remove_instance(instance, address, boot_time()):
             log(Event.INSTANCE_GONE, instance=instance)
             self._update_upstreams()
 
@@ -318,7 +318,9 @@
             self._replicas = [one.address for one in reply.replicas]
         self._count(reply)
         if reply.group is not None:
-            self._balancer.warm_ups.take(reply.group, self._loop.time())
+            self._balancer.warm_ups.update_group(
+                reply.group, self._loop.time()
+            )
         # Before the tree: an entry that starts acts as soon as it has one.
         if reply.evacuations is not None:
             self._dispatcher.apply_evacuations(reply.evacuations)
@@ -326,9 +328,9 @@
             self._apply()
         if reply.quarantine is not None:
             self._dispatcher.apply_quarantine(reply.quarantine)
-        changed = self._catalog.vouch(reply.unreachable, boot_time())
+        changed = self._catalog.refresh(reply.unreachable, boot_time())
         for source, delta in reply.deltas.items():
-            changed |= self._catalog.hear(source, delta, boot_time())
+            changed |= self._catalog.apply(source, delta, boot_time())
         if changed:
             self._update_upstreams()
         if self.ready != ready:
@@ -412,7 +414,7 @@
         )
 
     def _bound_warm_ups(self) -> None:
-        self._balancer.warm_ups.bound(
+        self._balancer.warm_ups.set_margin(
             self._settings.warm_up_overage, self._settings.warm_up_slack_per_s
         )
 
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -13,7 +13,7 @@
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
 from nutmegchute_core.members import DRAINING
-from nutmegchute_core.quarantines import Notice
+from nutmegchute_core.quarantines import CaseUpdate
 from nutmegchute_core.quarantines import QuarantineUpdate
 from nutmegchute_core.quarantines import SUSPECT
 from nutmegchute_core.rules import read_services
@@ -198,7 +198,7 @@
         balancer.finish(result, at + 0.001)
     balancer.arrive("catalogo", "GET", "/", 1.0, fingerprint="bad")
     if suspect:
-        notice = Notice("catalogo", "bad", SUSPECT)
+        notice = CaseUpdate("catalogo", "bad", SUSPECT)
         balancer.apply_quarantine(QuarantineUpdate(0, 1, [notice]), 1.0)
     sends: list[Action] = []
     for tick in range(1, 200):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -164,9 +164,9 @@
         if reply.tree is not None:
             self.went_back |= reply.tree.index < self.index
             self.index = max(self.index, reply.tree.index)
-        self.catalog.vouch(reply.unreachable, now)
+        self.catalog.refresh(reply.unreachable, now)
         for source, delta in reply.deltas.items():
-            self.catalog.hear(source, delta, now)
+            self.catalog.apply(source, delta, now)
 
     def states(self) -> dict[str, str]:
         """Map the endpoints that are known to their state."""
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -9,9 +9,9 @@
 from nutmegchute_core.isolations import Isolation
 from nutmegchute_core.isolations import Release
 from nutmegchute_core.quarantines import Acquittal
+from nutmegchute_core.quarantines import CaseUpdate
 from nutmegchute_core.quarantines import Crash
 from nutmegchute_core.quarantines import FREE
-from nutmegchute_core.quarantines import Notice
 from nutmegchute_core.quarantines import QUARANTINED
 from nutmegchute_core.quarantines import QuarantineUpdate
 from nutmegchute_core.quarantines import Ruling
@@ -22,7 +22,7 @@
 from nutmegchute_core.quarantines import WAIT
 from nutmegchute_core.rules import Rule
 from nutmegchute_core.timers import Timers
-from nutmegchute_core.trials import MOST_HELD
+from nutmegchute_core.trials import MAX_HELD
 
 DESK = "desk"
 BAD = "bad"
@@ -45,8 +45,8 @@
 
     def told(self, index: int, state: str) -> list[Release]:
         """Tell the state of the bad request."""
-        news = QuarantineUpdate(0, index, [Notice(DESK, BAD, state, 60.0)])
-        return self.isolation.take_news(news, 0.0)
+        news = QuarantineUpdate(0, index, [CaseUpdate(DESK, BAD, state, 60.0)])
+        return self.isolation.apply_update(news, 0.0)
 
     def held(self) -> tuple[Call, TrialRequest]:
         """Hold a call and return what it asks of control."""
@@ -67,17 +67,17 @@
     ) -> list[Release]:
         """End the attempt of a call."""
         result = Result(call.call_id, 1, outcome, 0.1, crashed=crashed)
-        return self.isolation.learn(call, result, "i-1#0", 0.1)
+        return self.isolation.finish_attempt(call, result, "i-1#0", 0.1)
 
 
 def test_no_crash_no_suspect() -> None:
     """Let calls go, and tell control nothing, while nothing crashes."""
     entry = Entry()
     call = entry.sent()
-    assert entry.isolation.look(call, 0.0).outcome == FREE
+    assert entry.isolation.check(call, 0.0).outcome == FREE
     entry.end(call, LOST)
     entry.end(entry.sent(), ANSWERED)
-    assert entry.isolation.look(call, 0.0).outcome == FREE
+    assert entry.isolation.check(call, 0.0).outcome == FREE
     assert entry.isolation.drain_reports() == []
 
 
@@ -86,11 +86,11 @@
     entry = Entry()
     call = entry.sent()
     entry.end(call, LOST, crashed=True)
-    assert entry.isolation.look(call, 0.1).outcome == WAIT
+    assert entry.isolation.check(call, 0.1).outcome == WAIT
     reports = entry.isolation.drain_reports()
     assert reports == [Crash(DESK, BAD, "i-1#0", 0, 0.1)]
     entry.end(entry.sent(), ANSWERED)
-    assert entry.isolation.look(call, 0.1).outcome == FREE
+    assert entry.isolation.check(call, 0.1).outcome == FREE
     assert entry.isolation.drain_reports() == [Acquittal(DESK, BAD)]
 
 
@@ -99,7 +99,7 @@
     entry = Entry()
     entry.told(1, SUSPECT)
     first, request = entry.held()
-    others = [entry.call() for _ in range(MOST_HELD - 1)]
+    others = [entry.call() for _ in range(MAX_HELD - 1)]
     assert all(entry.isolation.hold(one, 0.0) for one in others)
     assert not entry.isolation.hold(entry.call(), 0.0)
     assert entry.isolation.drain_reports() == []
@@ -132,11 +132,11 @@
     first, _ = entry.held()
     second = entry.call()
     entry.isolation.hold(second, 0.0)
-    entry.isolation.forget(first, False)
+    entry.isolation.end_call(first, False)
     due = entry.timers.pop_due(0.0)
     assert due is not None
     assert due[1] == second.call_id
-    entry.isolation.seek(second.key, 0.0)
+    entry.isolation.request_trial(second.key, 0.0)
     assert isinstance(entry.isolation.drain_reports()[-1], TrialRequest)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -154,7 +154,7 @@
     assert paths == [ROUTE, photos]
     loans, bundles = read_routes(tree.documents, 0.0)
     assert not bundles.rule.idempotent
-    assert bundles.kept_bytes > loans.kept_bytes
+    assert bundles.buffer_bytes > loans.buffer_bytes
 
 
 def test_unknown_kind_of_request_is_refused() -> None:
--- a/tests/test_quarantines.py
+++ b/tests/test_quarantines.py
@@ -7,7 +7,7 @@
 from nutmegchute_core.messages import LogEntry
 from nutmegchute_core.quarantines import Acquittal
 from nutmegchute_core.quarantines import Crash
-from nutmegchute_core.quarantines import FIRST_S
+from nutmegchute_core.quarantines import FIRST_QUARANTINE_S
 from nutmegchute_core.quarantines import FREE
 from nutmegchute_core.quarantines import Lift
 from nutmegchute_core.quarantines import Lifted
@@ -50,13 +50,15 @@
         name: str = BAD,
         trial: int = 0,
         sent_ago_s: float = 0.05,
-        forgivable: bool = False,
+        answered_before: bool = False,
         process: str = "",
     ) -> None:
         """Report a crash of a process that did not crash before."""
         self._processes += 1
         process = process or f"i-{self._processes}"
-        self.report(Crash(DESK, name, process, trial, sent_ago_s, forgivable))
+        self.report(
+            Crash(DESK, name, process, trial, sent_ago_s, answered_before)
+        )
 
     def ask(self, name: str = BAD, after_s: float = 0.1) -> Ruling:
         """Ask for a trial under a new token."""
@@ -77,7 +79,7 @@
 
     def state(self, name: str = BAD) -> str:
         """Give the state of a case, empty where there is none."""
-        for one in self.quarantine.evidence():
+        for one in self.quarantine.case_statuses():
             if one.fingerprint == name:
                 return one.state
         return ""
@@ -104,7 +106,7 @@
     assert bench.state() == QUARANTINED
     ruling = bench.ask()
     assert ruling.outcome == QUARANTINED
-    assert FIRST_S - 1 < ruling.after_s <= FIRST_S
+    assert FIRST_QUARANTINE_S - 1 < ruling.after_s <= FIRST_QUARANTINE_S
 
 
 def test_one_trial_at_a_time() -> None:
@@ -150,7 +152,7 @@
 def test_crash_of_a_request_that_is_answered_is_forgiven_once() -> None:
     """Watch a request that was answered before; suspect it the next time."""
     bench = Bench()
-    bench.crash(forgivable=True)
+    bench.crash(answered_before=True)
     assert bench.state() == WATCHED
     assert bench.ask().outcome == FREE
     # Sent before the first crash was known: the same outage.
@@ -165,7 +167,7 @@
     bench = Bench()
     bench.crash()
     assert bench.state() == SUSPECT
-    bench.crash(sent_ago_s=60.0, forgivable=True)
+    bench.crash(sent_ago_s=60.0, answered_before=True)
     assert bench.state() == WATCHED
 
 
@@ -184,19 +186,19 @@
     """Let a single send decide once a quarantine is over."""
     bench = Bench()
     bench.convict()
-    assert bench.ask(after_s=FIRST_S / 2).outcome == QUARANTINED
-    ruling = bench.ask(after_s=FIRST_S)
+    assert bench.ask(after_s=FIRST_QUARANTINE_S / 2).outcome == QUARANTINED
+    ruling = bench.ask(after_s=FIRST_QUARANTINE_S)
     assert ruling.outcome == TRY
     assert ruling.alone
     bench.crash(trial=bench.token)
     ruling = bench.ask()
     assert ruling.outcome == QUARANTINED
-    assert ruling.after_s > 1.9 * FIRST_S
+    assert ruling.after_s > 1.9 * FIRST_QUARANTINE_S
 
 
 def test_different_bodies_push_out_no_verdict() -> None:
     """Keep within a bound what a caller can fill, and keep verdicts."""
-    bench = Bench(Quarantine(most_suspects=8, most_quarantined=4))
+    bench = Bench(Quarantine(max_suspects=8, max_quarantined=4))
     bench.convict()
     bench.crash("proved")
     bench.crash_on_trial("proved")
@@ -204,7 +206,7 @@
         bench.crash(f"other-{number}")
     assert bench.state() == QUARANTINED
     assert bench.state("proved") == SUSPECT
-    assert len(bench.quarantine.evidence()) <= 9
+    assert len(bench.quarantine.case_statuses()) <= 9
 
 
 def test_verdict_survives_a_snapshot() -> None:
@@ -229,7 +231,10 @@
     restored = StateMachine()
     restored.restore(msgspec.msgpack.decode(data, type=MachineState))
     assert restored.quarantine.count == 1
-    assert restored.quarantine.evidence() == machine.quarantine.evidence()
+    assert (
+        restored.quarantine.case_statuses()
+        == machine.quarantine.case_statuses()
+    )
     lifted = apply(Lift(DESK, BAD, "operator", 1.0))
     assert lifted == Lifted(True)
     assert machine.quarantine.count == 0
--- a/tests/test_registries.py
+++ b/tests/test_registries.py
@@ -44,7 +44,7 @@
     """Carry what is new from one replica to an entry."""
     name = str(registry.epoch)
     epoch, generation = catalog.watermark(name)
-    catalog.hear(name, registry.since(epoch, generation, now), now)
+    catalog.apply(name, registry.since(epoch, generation, now), now)
 
 
 def states(catalog: Catalog) -> dict[str, str]:
@@ -126,7 +126,7 @@
     held = registry.generation
     registry.register(word("i2", B), 1, 0.0)
     catalog = Catalog()
-    assert not catalog.hear("c", registry.since(7, held, 0.0), 0.0)
+    assert not catalog.apply("c", registry.since(7, held, 0.0), 0.0)
     assert catalog.watermark("c") == (0, 0)
     assert states(catalog) == {}
 
@@ -158,12 +158,12 @@
     before = Registry(1)
     before.register(word("i1"), 1, 0.0)
     before.register(word("i2", B), 1, 0.0)
-    catalog.hear("c", before.since(0, 0, 0.0), 0.0)
+    catalog.apply("c", before.since(0, 0, 0.0), 0.0)
     after = Registry(2)
-    catalog.hear("c", after.since(0, 0, 1.0), 1.0)
+    catalog.apply("c", after.since(0, 0, 1.0), 1.0)
     assert states(catalog) == {"i1": UP, "i2": UP}
     after.register(word("i1"), 2, 2.0)
-    catalog.hear("c", after.since(*catalog.watermark("c"), 2.0), 2.0)
+    catalog.apply("c", after.since(*catalog.watermark("c"), 2.0), 2.0)
     catalog.expire(1.0 + ORPHAN_S + 0.1)
     assert states(catalog) == {"i1": UP}
 
@@ -310,9 +310,9 @@
     later.register(word("i1", A, incarnation=9), 1, 0.0)
     tell(earlier, catalog, 0.0)
     tell(later, catalog, 0.0)
-    assert catalog.leave("i1", B, 1.0)
+    assert catalog.remove_instance("i1", B, 1.0)
     assert [one.endpoint for one in catalog.live()] == [A]
-    assert catalog.leave("i1", A, 1.0)
+    assert catalog.remove_instance("i1", A, 1.0)
     assert catalog.live() == []
 
 
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from nutmegchute_core.routes import KEPT_BYTES
-from nutmegchute_core.routes import LARGE_KEPT_BYTES
+from nutmegchute_core.routes import BUFFER_BYTES
+from nutmegchute_core.routes import LARGE_BUFFER_BYTES
 from nutmegchute_fakes import faulty_upstreams
 from nutmegchute_fakes.edges import BODY_BYTES
 from nutmegchute_fakes.edges import drain
@@ -71,7 +71,7 @@
     """Build scenes and stop them at the end."""
     built: list[Scene] = []
 
-    def one(*behaviours: Behaviour, kept: int = LARGE_KEPT_BYTES) -> Scene:
+    def one(*behaviours: Behaviour, kept: int = LARGE_BUFFER_BYTES) -> Scene:
         built.append(Scene(kept, behaviours))
         return built[-1]
 
@@ -107,7 +107,7 @@
     it, sends it once more.
     """
     scene = build(
-        faulty_upstreams.shed, faulty_upstreams.answer, kept=KEPT_BYTES
+        faulty_upstreams.shed, faulty_upstreams.answer, kept=BUFFER_BYTES
     )
     answers = [scene.upload() for _ in range(6)]
     for answer in answers:
@@ -134,7 +134,7 @@
     assert scene.bodies() == [PHOTOS]
 
 
-@pytest.mark.parametrize("kept", [KEPT_BYTES, LARGE_KEPT_BYTES])
+@pytest.mark.parametrize("kept", [BUFFER_BYTES, LARGE_BUFFER_BYTES])
 def test_caller_that_stops_in_mid_body_runs_nothing(
     build: Any, kept: int
 ) -> None:
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -60,8 +60,8 @@
 def told(entry: str, zones: dict[str, str], now: float) -> WarmUps:
     """Build what an entry knows that was told of others at a time."""
     found = WarmUps(entry)
-    found.bound(OVERAGE, SLACK)
-    found.take(group_of(zones), now)
+    found.set_margin(OVERAGE, SLACK)
+    found.update_group(group_of(zones), now)
     return found
 
 
@@ -158,7 +158,7 @@
         while news and news[0][0] <= now:
             at, number, heard = news.pop(0)
             if heard:
-                entries[number].warm_ups.take(group_of(heard), at)
+                entries[number].warm_ups.update_group(group_of(heard), at)
                 continue
             name = list(zones)[number]
             phase = random.random() * TRY_S
@@ -182,8 +182,8 @@
     """Guard against a list kept for each entry that ever came or left."""
     warm_ups = WarmUps("entry-0")
     for second in range(100):
-        warm_ups.take(group_of(names(second % 7 + 1)), float(second))
-    assert warm_ups.lists <= SETTLE_S + 2
+        warm_ups.update_group(group_of(names(second % 7 + 1)), float(second))
+    assert warm_ups.view_count <= SETTLE_S + 2
 
 
 def test_entries_of_the_endpoints_zone_go_first() -> None:
@@ -201,8 +201,8 @@
 def entry_of(count: int) -> Balancer:
     """Build the decisions of the first of some entries."""
     built = Balancer(1, ZONES[0], name="entry-0")
-    built.warm_ups.bound(OVERAGE, SLACK)
-    built.warm_ups.take(group_of(names(count)), 0.0)
+    built.warm_ups.set_margin(OVERAGE, SLACK)
+    built.warm_ups.update_group(group_of(names(count)), 0.0)
     document = team(**{SERVICE: [rule()]})
     document["services"][SERVICE].update(warm_up_per_s=PER_S, warm_up_s=3.0)
     built.configure(read_services({"lending": document}), 0.0)
