--- a/packages/core/nutmegchute_core/ledgers.py
+++ b/packages/core/nutmegchute_core/ledgers.py
@@ -1,7 +1,7 @@
-"""Let a request that must not be repeated run at most once.
+"""Run a request with an idempotency key at most once.
 
-A claim is in the replicated log before its request is sent; any entry
-that meets the key again learns what became of it.
+An entry sends such a request only once its claim on the key is committed
+to the replicated log; every later claim on the key gets its outcome.
 """
 
 from collections import OrderedDict
@@ -19,7 +19,8 @@
 from .claims import OPEN
 from .claims import Settlement
 
-# A key is kept KEPT_S at least, and as much longer as there is room.
+# While the ledger has room, keys are kept for up to MAX_KEPT_S; a full one
+# evicts those older than MIN_KEPT_S.
 MIN_KEPT_S = 900.0
 MAX_KEPT_S = 86_400.0
 MAX_RECORDS = 200_000
@@ -30,7 +31,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, gc=False):
-    """Hold what is known of one key."""
+    """Hold the claim on one key and its outcome."""
 
     digest: bytes
     fingerprint: bytes
@@ -41,24 +42,27 @@
 
 
 class LedgerState(msgspec.Struct, frozen=True):
-    """Hold the ledger in the form that snapshots keep, oldest first."""
+    """Hold the ledger as it is stored in snapshots, oldest record first."""
 
     time_s: float = 0.0
     records: list[Record] = []
 
 
 class Ledger:
-    """Apply batches in log order; every replica reaches the same ledger."""
+    """Apply batches in log order, so that all replicas hold the same ledger.
 
-    __slots__ = ("_most", "_records", "_time_s")
+    ``max_records`` bounds the number of keys.
+    """
 
-    def __init__(self, most: int = MAX_RECORDS) -> None:
+    __slots__ = ("_max_records", "_records", "_time_s")
+
+    def __init__(self, max_records: int = MAX_RECORDS) -> None:
         self._records: OrderedDict[bytes, Record] = OrderedDict()
         self._time_s = 0.0
-        self._most = most
+        self._max_records = max_records
 
     def __len__(self) -> int:
-        """Count the keys held."""
+        """Return the number of keys in the ledger."""
         return len(self._records)
 
     def apply(self, batch: ClaimBatch) -> ClaimAnswers:
@@ -71,11 +75,14 @@
         return ClaimAnswers(answers)
 
     def snapshot(self) -> LedgerState:
-        """Give the whole ledger; encode it before the next batch."""
+        """Return the ledger's state; encode it before the next batch.
+
+        The state shares its records, which later settlements change.
+        """
         return LedgerState(self._time_s, list(self._records.values()))
 
     def restore(self, state: LedgerState) -> None:
-        """Take a snapshot's ledger in place of the present one."""
+        """Replace the ledger by a snapshot's."""
         self._time_s = state.time_s
         self._records = OrderedDict()
         for record in state.records:
@@ -89,7 +96,7 @@
             del self._records[digest]
 
     def _has_room(self) -> bool:
-        if len(self._records) < self._most:
+        if len(self._records) < self._max_records:
             return True
         digest, record = next(iter(self._records.items()))
         if self._time_s - record.claimed_at <= MIN_KEPT_S:
@@ -101,19 +108,19 @@
         record = self._records.get(claim.digest)
         if record is None:
             if not self._has_room():
-                # Forgetting a key early would let its request run twice;
-                # refusing a new one before it is sent costs only time.
+                # Evicting a key early could let its request run twice;
+                # a new request refused before it is sent is only delayed.
                 return _FULL
-            self._put(claim, OPEN)
+            self._add_record(claim, OPEN)
             return _FIRST
         if record.token == claim.token:
-            # Sent again after a lost reply, or late after the entry gave
-            # it up; only an open claim may still lead to a send.
+            # Resent after a lost reply, or delivered after the entry gave it
+            # up; only while the claim is open may its request be sent.
             if record.outcome == OPEN:
                 return _FIRST
             return ClaimAnswer(record.outcome, record.status)
         if record.outcome == NOT_RUN:
-            self._put(claim, OPEN)
+            self._add_record(claim, OPEN)
             return _FIRST
         if record.fingerprint != claim.fingerprint:
             return _MISMATCH
@@ -124,17 +131,17 @@
         record = self._records.get(claim.digest)
         if record is None:
             if settlement.outcome == NOT_RUN and self._has_room():
-                # The entry gave up waiting for the claim, which may still
-                # be under way: taken later, it would hold the key for a
-                # request that nobody sends.
-                self._put(claim, NOT_RUN)
+                # The entry gave up on a claim that may still be in flight:
+                # recorded later as open, it would block the key for a
+                # request that is never sent.
+                self._add_record(claim, NOT_RUN)
             return
         if record.token != claim.token or record.outcome != OPEN:
             return
         record.outcome = settlement.outcome
         record.status = settlement.status
 
-    def _put(self, claim: Claim, outcome: str) -> None:
+    def _add_record(self, claim: Claim, outcome: str) -> None:
         self._records[claim.digest] = Record(
             digest=claim.digest,
             fingerprint=claim.fingerprint,
--- a/packages/core/nutmegchute_core/patches.py
+++ b/packages/core/nutmegchute_core/patches.py
@@ -1,4 +1,4 @@
-"""Say what a change does to parts of the configuration tree."""
+"""Change parts of the configuration tree."""
 
 from typing import Any
 
@@ -6,10 +6,10 @@
 
 
 class Patch(msgspec.Struct, frozen=True):
-    """Replace, add or remove named items of a team's document.
+    """Add, replace or remove named items of a team's document.
 
     ``sections`` maps a section to its items by name; ``None`` as an item
-    removes it. ``limits`` replaces the limits where it is given.
+    removes it. ``limits``, unless None, replaces the document's limits.
     """
 
     sections: dict[str, dict[str, Any]]
@@ -17,10 +17,10 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Hold what one accepted change did to the tree.
+    """Hold one accepted change as an incremental update of the tree.
 
-    ``index`` is its place in the log, ``after`` that of the change before
-    it; an entry that holds the tree of then can take the step alone.
+    ``index`` is its log index, ``after`` that of the previous accepted
+    change. An entry whose tree has index ``after`` or more can apply it.
     """
 
     index: int
@@ -31,16 +31,16 @@
 
 
 def apply_patch(document: dict[str, Any], patch: Patch) -> dict[str, Any]:
-    """Return a document with some of its items replaced or removed."""
+    """Return a copy of a document with a patch applied."""
     changed = dict(document)
     if patch.limits is not None:
         changed["limits"] = patch.limits
     for section, items in patch.sections.items():
-        kept = dict(changed.get(section, {}))
+        merged = dict(changed.get(section, {}))
         for name, item in items.items():
             if item is None:
-                kept.pop(name, None)
+                merged.pop(name, None)
                 continue
-            kept[name] = item
-        changed[section] = kept
+            merged[name] = item
+        changed[section] = merged
     return changed
--- a/packages/core/nutmegchute_core/trees.py
+++ b/packages/core/nutmegchute_core/trees.py
@@ -1,4 +1,4 @@
-"""Keep the configuration tree: one branch, with its revision, per team."""
+"""Replicate the configuration tree: per team, a branch with a revision."""
 
 from collections import deque
 from typing import Any
@@ -18,25 +18,25 @@
 INVALID = "invalid"
 FORBIDDEN = "forbidden"
 
-# Nine days at 1,100 changes a day. A change resent after its answer was
-# forgotten cannot apply twice: when it was accepted, the revisions that
-# it names rose, so it ends as a conflict.
+# Nine days of answers at 1,100 changes a day. A change that is resent after
+# its answer was evicted cannot apply twice: accepting it raised the
+# revisions that it is based on, so it now conflicts.
 ANSWERS_KEPT = 10_000
 AUDIT_KEPT = 10_000
-# Entries lag by a few changes at most; a storm has several a second.
+# Entries lag by a few changes at most; a burst has several a second.
 STEPS_KEPT = 64
 
 
 class Change(msgspec.Struct, frozen=True, tag=True):
-    """Ask for new documents in one or more branches, all or none.
-
-    ``bases`` names, for every branch changed, the revision the operator
-    saw; ``None`` as a document removes the branch. ``patches`` changes
-    parts of documents. ``numbers`` gives branches their next revision,
-    which must be above the present one; without it revisions count by
-    one. ``checked`` says that every document passed the schema before it
-    was proposed, so that no replica spends that time again when it
-    applies or replays the change.
+    """Change one or more branches atomically.
+
+    ``bases`` maps every changed branch to the revision that the operator
+    started from; ``None`` as a document removes the branch. ``patches``
+    changes parts of documents. ``numbers`` sets the next revision of a
+    branch, which must be above the current one; by default a revision
+    rises by one. ``checked`` means that every document was validated
+    before it was proposed, so that replicas need not validate it again
+    when they apply or replay the change.
     """
 
     change_id: str
@@ -50,12 +50,12 @@
 
     @property
     def teams(self) -> list[str]:
-        """Name the branches changed, in order."""
+        """The teams whose branches change, sorted."""
         return sorted({*self.documents, *self.patches})
 
 
 class Refusal(msgspec.Struct, frozen=True, tag=True):
-    """Record in the audit trail that a change was not let in."""
+    """Record in the audit trail that a change was not authorized."""
 
     change_id: str
     operator: str
@@ -65,7 +65,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Tell an operator what became of a change."""
+    """Report the outcome of a change to its operator."""
 
     change_id: str
     outcome: str
@@ -75,7 +75,7 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """Record who asked for what, from which revision, and the outcome."""
+    """Record a requested change, its operator, revisions and outcome."""
 
     index: int
     at_unix_s: float
@@ -88,62 +88,62 @@
 
 
 class Branch(msgspec.Struct, frozen=True):
-    """Hold one team's document and how often it has changed."""
+    """Hold one team's document, its revision and the index of its change."""
 
     revision: int
     document: Any
     index: int = 0
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """Hold the answer to a change and the digest of what it asked."""
+class StoredAnswer(msgspec.Struct, frozen=True):
+    """Hold the answer to a change and the digest of its content."""
 
     digest: str
     answer: Answer
 
 
 class TreeState(msgspec.Struct, frozen=True):
-    """Hold a tree in the form that snapshots keep."""
+    """Hold a tree as it is stored in snapshots."""
 
     index: int = 0
     branches: dict[str, Branch] = {}
-    answers: list[Kept] = []
+    answers: list[StoredAnswer] = []
     audit: list[AuditRecord] = []
 
 
 class Tree:
-    """Apply changes in log order; every replica reaches the same tree."""
+    """Apply changes in log order, so that all replicas hold the same tree."""
 
     __slots__ = ("_answers", "_audit", "_branches", "_index", "_steps")
 
     def __init__(self) -> None:
-        # Not part of the state: who lacks a step is sent whole branches.
+        # Not in snapshots: an entry that lacks a step gets whole branches.
         self._steps: deque[Step] = deque(maxlen=STEPS_KEPT)
         self._branches: dict[str, Branch] = {}
-        self._answers: dict[str, Kept] = {}
+        self._answers: dict[str, StoredAnswer] = {}
         self._audit: deque[AuditRecord] = deque(maxlen=AUDIT_KEPT)
         self._index = 0
 
     @property
     def index(self) -> int:
-        """Give the log index of the last accepted change."""
+        """The log index of the last accepted change."""
         return self._index
 
     @property
     def audit(self) -> list[AuditRecord]:
-        """List the last AUDIT_KEPT changes asked for, oldest first."""
+        """The last AUDIT_KEPT records of the audit trail, oldest first."""
         return list(self._audit)
 
     @property
     def revisions(self) -> dict[str, int]:
-        """Map each team to the revision of its branch."""
+        """The revision of each team's branch."""
         return {
             team: branch.revision for team, branch in self._branches.items()
         }
 
     @property
     def documents(self) -> dict[str, Any]:
-        """Map each team to its document."""
+        """The document of each team."""
         found = {}
         for team, branch in self._branches.items():
             if branch.document is None:
@@ -152,7 +152,7 @@
         return found
 
     def changed_since(self, index: int) -> dict[str, Branch]:
-        """Map the teams whose branches changed after an index to them."""
+        """Return the branches that changed after an index, by team."""
         return {
             team: branch
             for team, branch in self._branches.items()
@@ -160,7 +160,7 @@
         }
 
     def steps_since(self, index: int) -> list[Step] | None:
-        """List the changes after an index; None: not all are kept."""
+        """Return the changes after an index, None if some are evicted."""
         found = []
         for step in reversed(self._steps):
             if step.index <= index:
@@ -171,21 +171,21 @@
         return found[::-1]
 
     def apply(self, index: int, change: Change) -> Answer:
-        """Apply a committed change, or repeat the answer it got before."""
+        """Apply a committed change; return the first answer to a duplicate."""
         digest = _digest(change)
         known = self._answers.get(change.change_id)
         if known is not None:
-            # A resent change was accepted once; applying it again would
-            # either conflict with itself or overwrite a later change.
-            return self._repeat(index, change, known, digest)
-        before = self._pick(change.teams)
+            # A resent change may have been accepted already: applied again,
+            # it would conflict with itself or overwrite a later change.
+            return self._answer_duplicate(index, change, known, digest)
+        before = self._revisions_of(change.teams)
         answer = self._decide(index, change)
-        self._remember(Kept(digest, answer))
+        self._store_answer(StoredAnswer(digest, answer))
         self._record(index, change, answer, before)
         return answer
 
     def record_refusal(self, index: int, refusal: Refusal) -> None:
-        """Put a change that was not let in on the audit trail."""
+        """Record an unauthorized change in the audit trail."""
         revisions = {team: self._revision(team) for team in refusal.teams}
         self._audit.append(
             AuditRecord(
@@ -203,7 +203,7 @@
     def add_audit_record(
         self, index: int, operator: str, detail: str, at_unix_s: float
     ) -> None:
-        """Put a change of the control replicas on the audit trail."""
+        """Record an accepted operation that changes no branch."""
         self._audit.append(
             AuditRecord(
                 index=index,
@@ -218,7 +218,7 @@
         )
 
     def snapshot(self) -> TreeState:
-        """Give the tree in the form that snapshots keep."""
+        """Return the tree as it is stored in snapshots."""
         return TreeState(
             index=self._index,
             branches=dict(self._branches),
@@ -227,27 +227,29 @@
         )
 
     def restore(self, state: TreeState) -> None:
-        """Take a snapshot's tree in place of the present one."""
+        """Replace the tree by a snapshot's."""
         self._index = state.index
         self._steps.clear()
         self._branches = dict(state.branches)
-        self._answers = {kept.answer.change_id: kept for kept in state.answers}
+        self._answers = {
+            stored.answer.change_id: stored for stored in state.answers
+        }
         self._audit = deque(state.audit, AUDIT_KEPT)
 
-    def _repeat(
-        self, index: int, change: Change, known: Kept, digest: str
+    def _answer_duplicate(
+        self, index: int, change: Change, known: StoredAnswer, digest: str
     ) -> Answer:
         if known.digest == digest:
             return known.answer
-        # Giving the first answer here would tell an operator that a
-        # change was accepted which nobody has looked at.
+        # Returning the first answer would report a change as accepted that
+        # was never evaluated.
         detail = f"change id {change.change_id} was used for another change"
-        answer = self._answer(index, change, INVALID, detail)
+        answer = self._build_answer(index, change, INVALID, detail)
         self._record(index, change, answer, answer.revisions)
         return answer
 
-    def _remember(self, kept: Kept) -> None:
-        self._answers[kept.answer.change_id] = kept
+    def _store_answer(self, stored: StoredAnswer) -> None:
+        self._answers[stored.answer.change_id] = stored
         if len(self._answers) > ANSWERS_KEPT:
             del self._answers[next(iter(self._answers))]
 
@@ -273,17 +275,19 @@
 
     def _decide(self, index: int, change: Change) -> Answer:
         if not change.teams:
-            return self._answer(index, change, INVALID, "names no branch")
+            return self._build_answer(
+                index, change, INVALID, "names no branch"
+            )
         for team in change.teams:
             current = self._revision(team)
             if change.bases.get(team, 0) == current:
                 continue
             detail = f"{team} is at revision {current}"
-            return self._answer(index, change, CONFLICT, detail)
+            return self._build_answer(index, change, CONFLICT, detail)
         try:
             documents = self._check(change)
         except DeclarationError as error:
-            return self._answer(index, change, INVALID, str(error))
+            return self._build_answer(index, change, INVALID, str(error))
         for team, document in documents.items():
             revision = change.numbers.get(team, self._revision(team) + 1)
             self._branches[team] = Branch(revision, document, index)
@@ -293,14 +297,14 @@
                 after=self._index,
                 documents=change.documents,
                 patches=change.patches,
-                revisions=self._pick(change.teams),
+                revisions=self._revisions_of(change.teams),
             )
         )
         self._index = index
-        return self._answer(index, change, ACCEPTED, "")
+        return self._build_answer(index, change, ACCEPTED, "")
 
     def _check(self, change: Change) -> dict[str, Any]:
-        """Return the documents that the change asks for."""
+        """Validate a change and return the documents that result from it."""
         for team, number in change.numbers.items():
             current = self._revision(team)
             if number <= current:
@@ -308,9 +312,9 @@
                     team, f"revision {number} is not above {current}"
                 )
         merged = self.documents
-        asked: dict[str, Any] = {}
+        requested: dict[str, Any] = {}
         for team, document in change.documents.items():
-            asked[team] = document
+            requested[team] = document
             if document is None:
                 merged.pop(team, None)
                 continue
@@ -322,22 +326,22 @@
                 raise DeclarationError(team, "there is no such branch")
             document = apply_patch(merged[team], patch)
             check_team(team, document)
-            asked[team] = merged[team] = document
+            requested[team] = merged[team] = document
         check_tree(merged)
-        return asked
+        return requested
 
-    def _answer(
+    def _build_answer(
         self, index: int, change: Change, outcome: str, detail: str
     ) -> Answer:
         return Answer(
             change_id=change.change_id,
             outcome=outcome,
             index=index,
-            revisions=self._pick(change.teams),
+            revisions=self._revisions_of(change.teams),
             detail=detail,
         )
 
-    def _pick(self, teams: list[str]) -> dict[str, int]:
+    def _revisions_of(self, teams: list[str]) -> dict[str, int]:
         return {team: self._revision(team) for team in teams}
 
     def _revision(self, team: str) -> int:
@@ -346,7 +350,7 @@
 
 
 def passes_schema(documents: dict[str, Any]) -> bool:
-    """Tell whether every document has the form of a team's branch."""
+    """Return whether every document is a valid branch of a team."""
     try:
         for team, document in documents.items():
             if document is not None:
@@ -357,8 +361,8 @@
 
 
 def _digest(change: Change) -> str:
-    asked: list[Any] = [change.operator, change.bases, change.documents]
+    requested: list[Any] = [change.operator, change.bases, change.documents]
     if change.patches or change.numbers:
-        asked += [change.patches, change.numbers]
-    data = msgspec.json.encode(asked, order="deterministic")
+        requested += [change.patches, change.numbers]
+    data = msgspec.json.encode(requested, order="deterministic")
     return str(xxhash.xxh3_128_hexdigest(data))
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -1,4 +1,4 @@
-"""Run keyed requests at most once, whatever is lost or sent twice."""
+"""Test that keyed requests run at most once despite loss and resends."""
 
 import msgspec
 import pytest
@@ -40,8 +40,8 @@
     return ClaimBatch(elapsed_s, ClaimRequest(claims, settlements or []))
 
 
-def ask(ledger: Ledger, one: Claim, elapsed_s: float = 0.0) -> ClaimAnswer:
-    """Make one claim."""
+def send(ledger: Ledger, one: Claim, elapsed_s: float = 0.0) -> ClaimAnswer:
+    """Submit one claim and return its answer."""
     return ledger.apply(batch([one], elapsed_s=elapsed_s)).answers[0]
 
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "told"),
+    ("outcome", "status", "answer"),
     [
         (RAN, 201, ClaimAnswer(RAN, 201)),
         (UNKNOWN, 0, ClaimAnswer(UNKNOWN)),
@@ -59,100 +59,102 @@
         (None, 0, ClaimAnswer(OPEN)),
     ],
 )
-def test_a_resend_is_told_what_became_of_it(
-    outcome: str | None, status: int, told: ClaimAnswer
+def test_a_resend_gets_the_outcome_of_its_key(
+    outcome: str | None, status: int, answer: ClaimAnswer
 ) -> None:
-    """Let a key run again only when it truly did not run."""
+    """Let a request run again only when it is known not to have run."""
     ledger = Ledger()
-    assert ask(ledger, claim(1)).outcome == FIRST
+    assert send(ledger, claim(1)).outcome == FIRST
     if outcome is not None:
         settle(ledger, claim(1), outcome, status)
-    assert ask(ledger, claim(2)) == told
+    assert send(ledger, claim(2)) == answer
 
 
-def test_a_key_is_for_one_request() -> None:
-    """Refuse a key that is used for another request."""
+def test_a_key_of_another_request_is_a_mismatch() -> None:
+    """Reject a key that another request holds."""
     ledger = Ledger()
-    ask(ledger, claim(1))
-    assert ask(ledger, claim(2, request="return")).outcome == MISMATCH
+    send(ledger, claim(1))
+    assert send(ledger, claim(2, request="return")).outcome == MISMATCH
 
 
-def test_a_given_up_claim_does_not_hold_the_key() -> None:
-    """Free a key whose claim arrived after its entry had given up.
+def test_a_claim_given_up_does_not_block_the_key() -> None:
+    """Guard against a key blocked by a claim that its entry gave up.
 
-    The claim waits in a slow control replica; the entry tells its caller
-    "not run" and says so to the next leader. Then the claim arrives. The
-    caller's resend must run.
+    The claim is delayed in a slow control replica; the entry answers its
+    caller "not run" and settles the claim so with the next leader. Then the
+    claim arrives. The caller's resend must run.
     """
     ledger = Ledger()
     settle(ledger, claim(1), NOT_RUN)
-    assert ask(ledger, claim(1)).outcome == NOT_RUN
-    assert ask(ledger, claim(2)).outcome == FIRST
+    assert send(ledger, claim(1)).outcome == NOT_RUN
+    assert send(ledger, claim(2)).outcome == FIRST
 
 
 def test_a_settled_claim_stays_settled() -> None:
-    """Ignore settlements of claims that do not hold the key."""
+    """Ignore later settlements, and those of claims that lack the key."""
     ledger = Ledger()
-    ask(ledger, claim(1))
+    send(ledger, claim(1))
     settle(ledger, claim(2), NOT_RUN)
-    assert ask(ledger, claim(3)).outcome == OPEN
+    assert send(ledger, claim(3)).outcome == OPEN
     settle(ledger, claim(1), RAN, 200)
     settle(ledger, claim(1), NOT_RUN)
-    assert ask(ledger, claim(3)) == ClaimAnswer(RAN, 200)
+    assert send(ledger, claim(3)) == ClaimAnswer(RAN, 200)
 
 
-def test_a_full_ledger_forgets_nothing() -> None:
-    """Refuse new keys rather than forget old ones; age frees them."""
-    ledger = Ledger(most=2)
-    ask(ledger, claim(1, "a"))
-    ask(ledger, claim(2, "b"), elapsed_s=MIN_KEPT_S / 2)
-    assert ask(ledger, claim(3, "c")).outcome == FULL
+def test_a_full_ledger_evicts_only_old_keys() -> None:
+    """Refuse new keys until the oldest is older than MIN_KEPT_S."""
+    ledger = Ledger(max_records=2)
+    send(ledger, claim(1, "a"))
+    send(ledger, claim(2, "b"), elapsed_s=MIN_KEPT_S / 2)
+    assert send(ledger, claim(3, "c")).outcome == FULL
     settle(ledger, claim(4, "d"), NOT_RUN)
     assert len(ledger) == 2
-    assert ask(ledger, claim(5, "a")).outcome == OPEN
+    assert send(ledger, claim(5, "a")).outcome == OPEN
     late = MIN_KEPT_S / 2 + 1
-    assert ask(ledger, claim(3, "c"), elapsed_s=late).outcome == FIRST
-    assert ask(ledger, claim(6, "b")).outcome == OPEN
+    assert send(ledger, claim(3, "c"), elapsed_s=late).outcome == FIRST
+    assert send(ledger, claim(6, "b")).outcome == OPEN
 
 
 def test_keys_are_kept_while_there_is_room() -> None:
-    """Hold a key for long after KEPT_S, but not for ever."""
-    ledger = Ledger(most=2)
-    ask(ledger, claim(1, "a"))
-    assert ask(ledger, claim(2, "a"), elapsed_s=MIN_KEPT_S * 4).outcome == OPEN
+    """Keep a key beyond MIN_KEPT_S, but not beyond MAX_KEPT_S."""
+    ledger = Ledger(max_records=2)
+    send(ledger, claim(1, "a"))
+    assert (
+        send(ledger, claim(2, "a"), elapsed_s=MIN_KEPT_S * 4).outcome == OPEN
+    )
     late = MAX_KEPT_S + 1
-    assert ask(ledger, claim(3, "a"), elapsed_s=late).outcome == FIRST
+    assert send(ledger, claim(3, "a"), elapsed_s=late).outcome == FIRST
     assert len(ledger) == 1
 
 
-def test_no_clock_makes_the_ledger_forget() -> None:
-    """Count no time backwards."""
+def test_negative_elapsed_time_is_ignored() -> None:
+    """Guard against a ledger whose time goes backwards."""
     ledger = Ledger()
-    ask(ledger, claim(1), elapsed_s=10.0)
-    ask(ledger, claim(2), elapsed_s=-1e9)
+    send(ledger, claim(1), elapsed_s=10.0)
+    send(ledger, claim(2), elapsed_s=-1e9)
     assert ledger.snapshot().time_s == 10.0
 
 
-class Books(RuleBasedStateMachine):
-    """Run entries against a ledger whose requests are lost and doubled.
+class LedgerMachine(RuleBasedStateMachine):
+    """Claim and settle keys while messages are lost, delayed and duplicated.
 
-    The oracle counts what an upstream ran, per key.
+    The oracle counts the runs of each key on the upstream.
     """
 
     @initialize()
     def start(self) -> None:
-        """Start empty."""
+        """Start with an empty ledger."""
         self.ledger = Ledger()
         self.token = 0
-        self.late: list[ClaimBatch] = []
+        self.delayed: list[ClaimBatch] = []
         self.sendable: list[Claim] = []
         self.ran: dict[bytes, int] = {}
-        self.said_not_run: set[int] = set()
+        self.reported_not_run: set[int] = set()
         self.ran_tokens: set[int] = set()
 
-    def post(self, one: ClaimBatch, copies: int) -> list[ClaimAnswer]:
-        """Deliver a batch and keep copies for a late arrival."""
-        self.late.extend([one] * copies)
+    def deliver(self, one: ClaimBatch, copies: int) -> list[ClaimAnswer]:
+        """Apply a batch and keep copies of it for late delivery."""
+        self.delayed.extend([one] * copies)
         return self.ledger.apply(one).answers
 
     @rule(
@@ -161,59 +163,61 @@
         reply=st.sampled_from(["comes", "lost", "resent"]),
     )
     def call(self, key: str, copies: int, reply: str) -> None:
-        """Let a caller send a key through some entry."""
+        """Claim a key for a new call."""
         self.token += 1
         one = claim(self.token, key)
-        answer = self.post(batch([one]), copies)[0]
+        answer = self.deliver(batch([one]), copies)[0]
         if reply == "resent":
-            answer = self.post(batch([one]), 0)[0]
+            answer = self.deliver(batch([one]), 0)[0]
         if reply == "lost":
-            self.said_not_run.add(one.token)
-            self.late.append(batch([], [Settlement(one, NOT_RUN)]))
+            self.reported_not_run.add(one.token)
+            self.delayed.append(batch([], [Settlement(one, NOT_RUN)]))
             return
         if answer.outcome == FIRST:
             self.sendable.append(one)
 
     @rule(
-        place=st.integers(0, 9),
+        position=st.integers(0, 9),
         runs=st.booleans(),
-        told=st.booleans(),
+        settles=st.booleans(),
         copies=st.integers(0, 1),
     )
-    def finish(self, place: int, runs: bool, told: bool, copies: int) -> None:
-        """End a call that holds its claim, or lose its entry."""
+    def finish(
+        self, position: int, runs: bool, settles: bool, copies: int
+    ) -> None:
+        """End a call that holds its claim; its entry may fail to settle it."""
         if not self.sendable:
             return
-        one = self.sendable.pop(place % len(self.sendable))
+        one = self.sendable.pop(position % len(self.sendable))
         if runs:
             self.ran[one.digest] = self.ran.get(one.digest, 0) + 1
             self.ran_tokens.add(one.token)
-        if told:
+        if settles:
             outcome = RAN if runs else NOT_RUN
             settlement = Settlement(one, outcome, 200 if runs else 0)
-            self.post(batch([], [settlement]), copies)
+            self.deliver(batch([], [settlement]), copies)
 
-    @rule(place=st.integers(0, 99))
-    def arrive_late(self, place: int) -> None:
-        """Deliver a batch that was under way."""
-        if self.late:
-            self.ledger.apply(self.late.pop(place % len(self.late)))
+    @rule(position=st.integers(0, 99))
+    def deliver_late(self, position: int) -> None:
+        """Deliver a delayed batch."""
+        if self.delayed:
+            self.ledger.apply(self.delayed.pop(position % len(self.delayed)))
 
     @rule()
     def restart(self) -> None:
-        """Load the ledger from its snapshot."""
+        """Restore the ledger from its snapshot."""
         data = msgspec.msgpack.encode(self.ledger.snapshot())
         self.ledger = Ledger()
         self.ledger.restore(msgspec.msgpack.decode(data, type=LedgerState))
 
     @invariant()
     def at_most_once(self) -> None:
-        """Find no key that ran twice and no false "not run"."""
+        """Check that no key ran twice and none reported "not run" ran."""
         assert all(times == 1 for times in self.ran.values())
-        assert not self.said_not_run & self.ran_tokens
+        assert not self.reported_not_run & self.ran_tokens
 
 
-Books.TestCase.settings = settings(
+LedgerMachine.TestCase.settings = settings(
     max_examples=200, stateful_step_count=40, derandomize=True, deadline=None
 )
-TestBooks = Books.TestCase
+TestLedger = LedgerMachine.TestCase
--- a/tests/test_tree_copies.py
+++ b/tests/test_tree_copies.py
@@ -1,4 +1,4 @@
-"""Lead an entry's copy of the tree on by the changes alone."""
+"""Test incremental updates of an entry's copy of the tree."""
 
 from typing import Any
 
@@ -25,8 +25,8 @@
 
 
 def change(tree: Tree, index: int, **fields: Any) -> None:
-    """Apply a change that builds on the present revision."""
-    asked = Change(
+    """Apply a change based on the current revision."""
+    requested = Change(
         change_id=str(index),
         operator="ana",
         bases={TEAM: tree.revisions.get(TEAM, 0)},
@@ -34,23 +34,23 @@
         at_unix_s=0.0,
         patches=fields.get("patches", {}),
     )
-    assert tree.apply(index, asked).outcome == ACCEPTED
+    assert tree.apply(index, requested).outcome == ACCEPTED
 
 
-def whole(tree: Tree, index: int) -> FollowReply:
-    """Give the tree as it is told to who knows nothing."""
+def full_reply(tree: Tree, index: int) -> FollowReply:
+    """Build the reply to an entry that has no tree yet."""
     return FollowReply(None, None, True, index, tree.revisions, tree.documents)
 
 
 def build() -> tuple[Tree, TreeCopy]:
-    """Build a tree of many routes and a copy that holds it."""
+    """Build a tree of many routes and an up-to-date copy."""
     tree = Tree()
     routes = {f"r{n}": route(f"/{n}/") for n in range(50)}
     change(
         tree, 3, documents={TEAM: {"services": {"desk": {}}, "routes": routes}}
     )
     copy = TreeCopy()
-    assert copy.apply_reply(whole(tree, 3))
+    assert copy.apply_reply(full_reply(tree, 3))
     return tree, copy
 
 
@@ -59,8 +59,8 @@
     return {TEAM: Patch({"routes": {name: item}})}
 
 
-def test_copy_follows_by_steps() -> None:
-    """Reach the same tree by the changes as by whole branches."""
+def test_steps_yield_the_same_tree() -> None:
+    """Guard against a copy that differs from the tree after steps."""
     tree, copy = build()
     change(tree, 5, patches=patch("r1", route("/new/")))
     change(tree, 9, patches=patch("r2", None))
@@ -71,8 +71,8 @@
     assert (copy.index, copy.revisions) == (9, tree.revisions)
 
 
-def test_step_on_an_unknown_tree_is_not_taken() -> None:
-    """Never apply a change to a tree that it was not made on."""
+def test_steps_with_a_gap_are_not_applied() -> None:
+    """Guard against a step applied to a tree that lacks the one before."""
     tree, copy = build()
     change(tree, 5, patches=patch("r1", None))
     change(tree, 9, patches=patch("r2", None))
@@ -82,11 +82,15 @@
     assert copy.index == 3
 
 
-def test_steps_taken_already_are_passed_over() -> None:
-    """Take an answer that another replica's has overtaken in part."""
+def test_applied_steps_are_skipped() -> None:
+    """Guard against steps applied twice.
+
+    A reply arrives after another replica's newer reply had some of the same
+    steps.
+    """
     tree, copy = build()
     change(tree, 5, patches=patch("r1", None))
-    assert copy.apply_reply(whole(tree, 5))
+    assert copy.apply_reply(full_reply(tree, 5))
     change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(3)
     assert steps is not None
@@ -94,8 +98,8 @@
     assert copy.documents == tree.documents
 
 
-def test_who_lags_too_far_gets_whole_branches() -> None:
-    """Keep a bounded number of changes."""
+def test_number_of_kept_steps_is_bounded() -> None:
+    """Send whole branches to an entry that lags too far."""
     tree, copy = build()
     for index in range(10, 12 + STEPS_KEPT):
         change(tree, index, patches=patch("r1", route(f"/x{index}/")))
--- a/tests/test_trees.py
+++ b/tests/test_trees.py
@@ -24,12 +24,11 @@
     )
 
 
-def test_equal_revisions_race_and_one_wins() -> None:
-    """Two operators start from revision 0; the second learns so.
+def test_second_change_of_a_revision_conflicts() -> None:
+    """Guard against lost updates.
 
-    The second sees "conflict" naming the present revision; both changes
-    were based on the same revision and reached the log one after the
-    other, and taking both would silently undo the first.
+    Two changes based on the same revision reach the log one after the
+    other; accepting both would silently undo the first.
     """
     tree = Tree()
     first = tree.apply(1, change("a", 0, team(catalogo=[rule()])))
@@ -39,7 +38,7 @@
 
 
 def test_resent_change_gets_its_first_answer() -> None:
-    """An operator whose answer was lost asks again and learns it."""
+    """Guard against a second answer to a change whose answer was lost."""
     tree = Tree()
     document = team(catalogo=[rule()])
     first = tree.apply(1, change("a", 0, document))
@@ -47,11 +46,11 @@
     assert tree.revisions == {"lending": 1}
 
 
-def test_change_id_used_again_for_another_change_is_refused() -> None:
-    """Two changes bear one id; the second must not read as accepted.
+def test_change_id_of_another_change_is_rejected() -> None:
+    """Guard against reporting a change as accepted that was never applied.
 
-    Given the first one's answer, the operator would believe that a change
-    is in the tree which nobody has looked at.
+    Two changes have the same id; returning the first one's answer to the
+    second would do so.
     """
     tree = Tree()
     tree.apply(1, change("a", 0, team(catalogo=[rule()])))
@@ -61,13 +60,13 @@
     assert tree.revisions == {"lending": 1}
 
 
-def test_forgotten_change_id_cannot_apply_twice(
+def test_change_resent_after_eviction_conflicts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A change is resent after its answer was forgotten.
+    """Guard against a change that applies twice.
 
-    The revisions that it names rose when it was accepted, so the resend
-    ends as a conflict and overwrites nothing.
+    Its answer was evicted before the resend. Accepting it raised the
+    revisions it is based on, so the resend conflicts and overwrites nothing.
     """
     monkeypatch.setattr(trees, "ANSWERS_KEPT", 1)
     tree = Tree()
@@ -79,7 +78,10 @@
 
 
 def test_several_branches_change_together_or_not_at_all() -> None:
-    """One of two branches was changed by another operator meanwhile."""
+    """Guard against a change applied in part.
+
+    One of its two branches was changed by another operator meanwhile.
+    """
     tree = Tree()
     tree.apply(1, change("a", 0, team(catalogo=[rule()])))
     both = Change(
@@ -97,16 +99,16 @@
     assert sorted(tree.documents) == ["lending"]
 
 
-def test_wrong_document_names_the_place() -> None:
-    """A wrong declaration is refused and its place named."""
+def test_invalid_document_is_rejected_with_its_path() -> None:
+    """Guard against an error that does not say where the document is wrong."""
     document = team(catalogo=[rule(deadline_ms=0)])
     answer = Tree().apply(1, change("a", 0, document))
     assert answer.outcome == INVALID
     assert "lending/services/catalogo/rules/0/deadline_ms" in answer.detail
 
 
-def test_changed_since_names_only_newer_branches() -> None:
-    """An entry at an index is sent the branches that changed after it."""
+def test_changed_since_returns_only_newer_branches() -> None:
+    """Send an entry at an index the branches that changed after it."""
     tree = Tree()
     tree.apply(1, change("a", 0, team(catalogo=[rule()])))
     other = Change(
