--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -46,10 +46,10 @@
 # entry keeps its calls back. Too little lets slots run dry between two
 # calls; too much lets calls wait where none can overtake them.
 QUEUE_SHARE = 0.5
-UNPROBED_S = 16.0
+PROBE_WAIT_S = 16.0
 # Endpoints that have told their pace are still held to do so until so many
 # answers in a row say nothing: some answers come from a cache or a proxy.
-UNTOLD_MOST = 8
+MAX_UNREPORTED = 8
 
 
 class ZoneStalls:
@@ -294,7 +294,7 @@
         as much as a call does, and its answer is worth nothing.
         """
         self._untold += 1
-        if self._stretches is None or self._untold >= UNTOLD_MOST:
+        if self._stretches is None or self._untold >= MAX_UNREPORTED:
             self._stretches = False
             self._tells_nothing = True
 
@@ -402,7 +402,7 @@
         # A trial that fails costs a caller time, a probe does not. An
         # endpoint that answers no probe, say for a wrong path in the
         # declaration, still gets its trial in the end.
-        return now >= endpoint.ejected_until + UNPROBED_S
+        return now >= endpoint.ejected_until + PROBE_WAIT_S
 
     def _below_floor(self) -> bool:
         # When most of the pool fails, the cause is rarely the endpoints;
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -14,7 +14,7 @@
 from nutmegchute_core.calls import Refuse
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
-from nutmegchute_core.choosers import UNPROBED_S
+from nutmegchute_core.choosers import PROBE_WAIT_S
 from nutmegchute_core.endpoints import EJECT_AFTER
 from nutmegchute_core.endpoints import FIRST_EJECTION_S
 from nutmegchute_core.rules import read_services
@@ -226,7 +226,7 @@
     balancer.record_probe("catalogo", bad.endpoint, None, 0.005, 2.0)
     soon = {arrive(balancer, "GET", 2.0).endpoint for _ in range(2)}
     assert bad.endpoint not in soon
-    later = 1.1 + FIRST_EJECTION_S + UNPROBED_S
+    later = 1.1 + FIRST_EJECTION_S + PROBE_WAIT_S
     assert arrive(balancer, "GET", later).endpoint == bad.endpoint
 
 
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -11,7 +11,7 @@
 from nutmegchute_core.calls import Refuse
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
-from nutmegchute_core.choosers import UNTOLD_MOST
+from nutmegchute_core.choosers import MAX_UNREPORTED
 from nutmegchute_core.inquiries import FRESH_S
 from nutmegchute_core.inquiries import Fullness
 from nutmegchute_core.inquiries import InquiryBudget
@@ -499,7 +499,7 @@
 def test_pace_told_once_is_asked_for_until_answers_fall_silent() -> None:
     """Go on asking after a few answers without a load, not for ever."""
     balancer = build()
-    for number in range(UNTOLD_MOST):
+    for number in range(MAX_UNREPORTED):
         _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0 + number)
         assert len(asked(actions)) == 1
         balancer.record_probe(
