--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -1,4 +1,4 @@
-"""Decide, for one entry, which upstream runs each call and when."""
+"""Decide for one entry where and when each call is sent."""
 
 from random import Random
 
@@ -51,7 +51,7 @@
 
 
 class Balancer:
-    """Turn arrivals, results and time into sends and final answers."""
+    """Turn arrivals, results and timers into sends and final answers."""
 
     __slots__ = (
         "_calls",
@@ -86,50 +86,51 @@
 
     @property
     def quarantine_index(self) -> int:
-        """Give the log index of the cases known."""
+        """Return the log index of the known quarantine cases."""
         return self._isolation.index
 
     @property
     def evacuations(self) -> EvacuationUpdate:
-        """Give the evacuated availability zones, as known here."""
+        """Return the evacuated availability zones known to this entry."""
         return self._pools.evacuations
 
     def drain_reports(self) -> list[Report]:
-        """Take what control must hear of requests that crash endpoints."""
+        """Remove and return the crash reports that are due to control."""
         return self._isolation.drain_reports()
 
     @property
     def in_flight(self) -> int:
-        """Count the calls without an outcome."""
+        """Return the number of calls without an outcome."""
         return len(self._calls)
 
     def configure(self, services: dict[str, Service], now: float) -> None:
-        """Take the services that the configuration in force declares."""
+        """Apply the services that the configuration in force declares."""
         self._pools.configure(services, now)
 
     def apply_evacuations(
         self, news: EvacuationUpdate, now: float
     ) -> list[Action]:
-        """Take the evacuated availability zones, as control tells."""
+        """Apply the evacuated availability zones received from control."""
         if not self._pools.evacuate(news, now):
             return []
         return self._dispatch_all(now)
 
     def limit_extra(self, share: float, burst: float) -> None:
-        """Take this entry's part of each service's extra sends."""
+        """Set this entry's share of each service's retries and hedges."""
         self._pools.limit_extra(share, burst)
 
     def limit_inquiries(self, per_endpoint: float, share: float) -> None:
-        """Take how often a second all entries may ask each endpoint.
+        """Set the load queries allowed per second and endpoint.
 
-        ``share`` of it is this entry's.
+        ``per_endpoint`` is for all entries together; ``share`` of it is
+        this entry's.
         """
         self._pools.limit_inquiries(per_endpoint, share)
 
     def update_upstreams(
         self, announcements: list[Announcement], now: float
     ) -> list[Action]:
-        """Take the live endpoints of every service."""
+        """Apply the live endpoints of every service."""
         self._pools.update(announcements, now)
         return self._dispatch_all(now)
 
@@ -145,10 +146,10 @@
     ) -> tuple[int, list[Action]]:
         """Admit a call; return its id and the first actions.
 
-        ``fingerprint`` is the same where the request comes again.
-        ``attempt`` is the number the call arrived with. Over 1, a layer
-        above is retrying already and the call earns no retry here: each
-        of 16 layers sending twice would make 65,536 calls of one.
+        ``fingerprint`` is the same for every repetition of a request.
+        ``attempt`` is the attempt number from the request. Above 1 a layer
+        in front is already retrying, and the call gets no retry here: 16
+        layers that each send twice would make 65,536 calls out of one.
         """
         pool = self._pools.get(service)
         rule = None if pool is None else pool.service.rule_for(method, path)
@@ -165,7 +166,7 @@
         attempt: int = 1,
         fingerprint: str = "",
     ) -> tuple[int, list[Action]]:
-        """Admit a call whose rule is known, as ``arrive`` does."""
+        """Admit a call whose rule is already known; see ``arrive``."""
         call_id = self._next_id
         self._next_id += 1
         pool = self._pools.get(service)
@@ -196,11 +197,11 @@
         return call_id, actions
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Take an attempt's end and decide what follows from it."""
+        """Record the end of an attempt and return what follows from it."""
         call = self._calls.get(result.call_id)
         if call is None or result.attempt not in call.outstanding:
-            # The loser of a hedge or an abandoned call: its slot was
-            # given back when it was cancelled.
+            # The call was abandoned or another attempt answered first; the
+            # slot was released on cancellation.
             return []
         call.outstanding.discard(result.attempt)
         pool = self._pools.get(call.service)
@@ -223,7 +224,7 @@
     def apply_quarantine(
         self, news: QuarantineUpdate, now: float
     ) -> list[Action]:
-        """Take the requests that may crash endpoints, as control tells."""
+        """Apply the suspect and quarantined requests from control."""
         actions: list[Action] = []
         self._release(self._isolation.apply_update(news, now), now, actions)
         return actions
@@ -231,7 +232,7 @@
     def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Action]:
-        """Take the answer to a trial request; None: there was none."""
+        """Apply the reply to a trial request; None if there was none."""
         actions: list[Action] = []
         releases = self._isolation.apply_ruling(request, ruling, now)
         self._release(releases, now, actions)
@@ -248,7 +249,7 @@
         answered: bool = False,
         cold_s: float | None = None,
     ) -> list[Action]:
-        """Take a probe's end; without load and answer it has failed."""
+        """Record a probe's result; without load or answer it has failed."""
         actions: list[Action] = []
         pool = self._pools.get(service)
         if pool is not None:
@@ -259,7 +260,7 @@
         return actions
 
     def abandon(self, call_id: int, now: float) -> list[Action]:
-        """Forget a call whose caller has gone; cancel what is in flight."""
+        """Drop a call whose caller has disconnected; cancel its attempts."""
         call = self._calls.pop(call_id, None)
         if call is None:
             return []
@@ -274,7 +275,7 @@
         return actions
 
     def next_wakeup(self) -> float | None:
-        """Give the time by which tick must run, in seconds, if any."""
+        """Return the time by which tick must run, in seconds, if any."""
         soonest = self._timers.next_at
         if not self._policy.probing:
             return soonest
@@ -285,7 +286,7 @@
         return soonest
 
     def tick(self, now: float) -> list[Action]:
-        """Do what has fallen due: hedges, refusals, probes."""
+        """Run due timers and send due probes."""
         actions: list[Action] = []
         while True:
             due = self._timers.pop_due(now)
@@ -324,7 +325,7 @@
         now: float,
         actions: list[Action],
     ) -> bool:
-        """Ask endpoints for a call; return whether it waits for answers."""
+        """Send load queries for a call; return whether it waits for them."""
         addresses = pool.planner.select(inquiry, now)
         if not addresses:
             return False
@@ -373,10 +374,10 @@
     def _end_query_round(
         self, call: Call, now: float, actions: list[Action]
     ) -> None:
-        """Ask others in place of those that do not answer in time."""
+        """Query other endpoints in place of those that did not answer."""
         inquiry = self._inquiries[call.call_id]
         if now < inquiry.round_ends_at:
-            # A later round has its own timer.
+            # The timer belongs to an earlier round.
             return
         pool = self._pools.get(call.service)
         if pool is not None:
@@ -389,7 +390,7 @@
     def _end_inquiry(
         self, call: Call, now: float, actions: list[Action]
     ) -> None:
-        """Send a call on with what is known by now."""
+        """Dispatch a call with the load reports received so far."""
         inquiry = self._inquiries.pop(call.call_id)
         if inquiry.for_hedge:
             self._send_hedge(call, now, actions)
@@ -401,9 +402,9 @@
         if call.state == ADMITTED:
             self._enqueue(pool, call)
         elif call.state != QUEUED:
-            # Another call's answer told of room meanwhile, and it went.
+            # Sent meanwhile, after an answer to another call's query.
             return
-        # Endpoints that answer no question may still run calls.
+        # Endpoints that answer no load query may still run calls.
         exempt = None if inquiry.has_load else call.call_id
         self._dispatch(pool, now, actions, exempt)
         if self._shed_waiting(pool, call, True, now, actions):
@@ -419,7 +420,7 @@
         now: float,
         actions: list[Action],
     ) -> bool:
-        """Refuse a waiting call that would wait in vain, if it would."""
+        """Refuse a queued call that is better retried; return if it was."""
         if call.state != QUEUED or not pool.should_shed(
             call, starts_waiting, now
         ):
@@ -432,7 +433,7 @@
         return True
 
     def _requery(self, call: Call, now: float, actions: list[Action]) -> None:
-        """Look for room for a call that is held back."""
+        """Query endpoints again for a call held in the queue."""
         pool = self._pools.get(call.service)
         if pool is None or call.state != QUEUED:
             return
@@ -446,16 +447,16 @@
         inquiry = Inquiry(list(call.attempts.values()), held=True)
         if self._send_queries(pool, call, inquiry, now, actions):
             return
-        # Not to be asked: by the budget, or since the answer is known.
+        # The query budget is used up, or a free slot is known already.
         self._dispatch(pool, now, actions, self._exempt_call(pool, call))
         self._schedule_requery(pool, call, now)
 
     def _exempt_call(self, pool: Pool, call: Call) -> int | None:
-        """Name a call that goes by what is known where nobody may be asked.
+        """Return the call's id if it may be sent without a fresh report.
 
-        Where questions are only used up for a moment it waits for the next
-        one: sent to endpoints that nobody has looked at, calls fill their
-        queues, and the answers to the questions that follow are all bad.
+        That is so only where no query is allowed at all. A call waits out
+        a budget that is used up for a moment: calls sent unseen would fill
+        the endpoints' queues, and every later query would find them full.
         """
         return None if pool.may_query else call.call_id
 
@@ -475,7 +476,7 @@
             call.may_have_run = True
         if result.outcome == ANSWERED:
             if result.failed and self._retry(pool, call, result, now):
-                # The endpoint may have acted before it failed.
+                # The endpoint may have executed the call before it failed.
                 call.may_have_run = True
                 return
             call.step("answer")
@@ -493,9 +494,9 @@
     def _retry(
         self, pool: Pool | None, call: Call, result: Result, now: float
     ) -> bool:
-        """Queue a failed call again; return whether it goes on."""
+        """Queue a failed call again; return whether it is still open."""
         if call.outstanding:
-            # The other attempt of a hedged call is the retry.
+            # Another attempt of the hedged call is still in flight.
             return True
         may_repeat = result.outcome == NOT_RUN or call.rule.idempotent
         if (
@@ -509,8 +510,8 @@
         call.step("retry")
         self._enqueue(pool, call)
         if pool.holds_calls:
-            # Held for another call's answer, it could wait at a quiet entry
-            # until its deadline.
+            # An entry with few calls may get no answer to another call that
+            # would release this one before its deadline.
             self._timers.add(now, REQUERY, call.call_id)
         return True
 
@@ -525,7 +526,7 @@
         )
 
     def _dispatch_all(self, now: float) -> list[Action]:
-        """Send or refuse what waits, after something changed for all."""
+        """Send or refuse queued calls of all services after a change."""
         actions: list[Action] = []
         for pool in self._pools.values():
             self._dispatch(pool, now, actions)
@@ -538,7 +539,7 @@
         actions: list[Action],
         exempt: int | None = None,
     ) -> None:
-        """Send the calls that may go; ``exempt`` need not wait for news."""
+        """Send queued calls; ``exempt`` needs no fresh load report."""
         unplaced: list[Call] = []
         while len(unplaced) <= MAX_UNPLACED:
             call_id = pool.queue.peek(now)
@@ -565,8 +566,8 @@
                 unplaced.append(call)
                 if not call.attempts and not call.alone:
                     break
-                # A retry avoids where it failed; a call behind it may
-                # go there and must not wait for the retry's deadline.
+                # A retry avoids endpoints already tried. A call behind it
+                # may use them and must not wait until the retry expires.
                 continue
             call.step("send")
             actions.append(self._send(pool, call, endpoint, now))
@@ -591,7 +592,7 @@
         return pool.may_send(call, endpoint, exempt, now)
 
     def _schedule_expiry(self, pool: Pool, call: Call) -> None:
-        """See to it that a call left waiting is refused in time."""
+        """Schedule the refusal of a queued call for its latest send time."""
         if call.state == QUEUED:
             at = pool.latest_send_at(call)
             self._timers.add(at, EXPIRY, call.call_id)
@@ -666,9 +667,9 @@
         del self._calls[call.call_id]
         self._isolation.end_call(call, call.state != QUEUED)
         if call.may_have_run:
-            # An earlier attempt was lost after bytes had left: "not run"
-            # could be false, and a loan repeated on its word would run
-            # twice. "Unknown" is the only true answer.
+            # An earlier attempt was lost after bytes had been sent, so the
+            # call may have run. After "not run" the caller could repeat a
+            # loan that then runs twice.
             call.step("lose")
             return Lose(call.call_id, reason)
         call.step("refuse")
@@ -677,7 +678,7 @@
         return Refuse(call.call_id, reason, retry_after_s)
 
     def _is_suspect(self, call: Call, now: float) -> bool:
-        """Tell whether a call is a suspect's; those are sent once a time."""
+        """Return whether the request may crash endpoints: then no hedge."""
         if call.trial_token:
             return True
         return self._isolation.check(call, now).outcome != FREE
@@ -685,7 +686,7 @@
     def _hold_or_refuse(
         self, pool: Pool, call: Call, now: float, actions: list[Action]
     ) -> bool:
-        """Hold or refuse a call that may not simply go; tell if it was."""
+        """Hold or refuse a suspect or quarantined call; return if done."""
         ruling = self._isolation.check(call, now)
         if ruling.outcome == FREE:
             return False
@@ -708,7 +709,7 @@
     def _release(
         self, releases: list[Release], now: float, actions: list[Action]
     ) -> None:
-        """Queue the calls that were held, or refuse them."""
+        """Queue or refuse calls that were held as suspects."""
         for release in releases:
             call = release.call
             pool = self._pools.get(call.service)
--- a/packages/core/nutmegchute_core/calls.py
+++ b/packages/core/nutmegchute_core/calls.py
@@ -1,4 +1,4 @@
-"""Hold one call's life and the words passed between core and daemon."""
+"""Define calls and the actions and results that core and daemon exchange."""
 
 from .charts import Chart
 from .charts import load_chart
@@ -13,7 +13,7 @@
 
 
 class Send:
-    """Order one send of a call to an endpoint."""
+    """Send one attempt of a call to an endpoint."""
 
     __slots__ = (
         "attempt",
@@ -38,12 +38,12 @@
         self.endpoint = endpoint
         self.remaining_s = remaining_s
         self.instance = instance
-        # What the choice rested on, for the log.
+        # The data behind the choice of endpoint, for the log.
         self.basis = basis or {}
 
 
 class Refuse:
-    """Order the final answer "not run" and when to come back."""
+    """Answer "not run" and say after how long to retry."""
 
     __slots__ = ("call_id", "reason", "retry_after_s")
 
@@ -56,7 +56,7 @@
 
 
 class Reject:
-    """Order the final answer that no route covers the request."""
+    """Answer that no route matches the request."""
 
     __slots__ = ("call_id", "reason")
 
@@ -66,7 +66,7 @@
 
 
 class Lose:
-    """Order the final answer "unknown": the call may have run."""
+    """Answer "unknown": the call may have run."""
 
     __slots__ = ("call_id", "reason")
 
@@ -76,7 +76,7 @@
 
 
 class Finish:
-    """Say that the answer of one attempt is the call's answer."""
+    """Return the answer of one attempt to the caller."""
 
     __slots__ = ("attempt", "call_id")
 
@@ -86,10 +86,10 @@
 
 
 class Known:
-    """Order the answer that the call's idempotency key was used before.
+    """Answer that the call's idempotency key has been used before.
 
-    ``outcome`` is one of the ledger's; ``status`` is that of the answer
-    to the first request, where it ran.
+    ``outcome`` is the outcome in the ledger; ``status`` is the status of
+    the answer to the first request, if it ran.
     """
 
     __slots__ = ("call_id", "outcome", "status")
@@ -101,7 +101,7 @@
 
 
 class Cancel:
-    """Order that an attempt's connection be closed; it lost or nobody waits.
+    """Close the connection of an attempt whose answer is not needed.
 
     The attempt still ends with a Result, whose outcome is CANCELLED.
     """
@@ -114,7 +114,7 @@
 
 
 class Probe:
-    """Order one question to an endpoint about its load, at a path."""
+    """Request an endpoint's load report at a path."""
 
     __slots__ = ("endpoint", "path", "service")
 
@@ -131,13 +131,13 @@
 class Result:
     """Report how one attempt ended.
 
-    ``load`` is the in-flight count the endpoint reported on its answer.
-    ``stretch`` is how many times as long as usual work takes there now.
-    ``failed`` marks an answer that says the endpoint itself is broken (a
-    5xx status that is not "not run"). ``shed`` marks a "not run" that the
-    endpoint said; without it the call did not reach the endpoint. ``loss``
-    tells how a lost attempt was lost, ``crashed`` that the endpoint's process
-    is known to have ended with it.
+    ``load`` is the number of calls in flight that the endpoint reported.
+    ``stretch`` is the present service time there as a multiple of the
+    usual. ``failed`` marks an answer that shows a broken endpoint (a 5xx
+    status other than "not run"). ``shed`` marks a "not run" sent by the
+    endpoint; without it the call did not reach the endpoint. ``loss`` says
+    how an attempt was lost, ``crashed`` that the endpoint's process is
+    known to have ended with it.
     """
 
     __slots__ = (
@@ -213,8 +213,8 @@
     ) -> None:
         self._is_retry = is_retry
         self.fingerprint = fingerprint
-        # The token by which a suspect may be sent once, or 0, and whether
-        # only to an endpoint that runs nothing else.
+        # A suspect's token for one trial, or 0; alone restricts the trial
+        # to an endpoint with no other calls.
         self.trial_token = 0
         self.alone = False
         self._chart: Chart = CALL_CHART
@@ -223,54 +223,54 @@
         self._rule = rule
         self._arrived_at = arrived_at
         self._deadline_at = arrived_at + deadline_s
-        # Until when an answer is of full use.
+        # An answer after this time misses the rule's latency objective.
         self.objective_at = arrived_at + rule.objective_s
         self._state = self._chart.initial
         self._attempts: dict[int, str] = {}
         self._sent_at: dict[int, float] = {}
-        # Whether the caller is known not to have tried before.
+        # Whether the caller is known not to have sent the request before.
         self.is_first_try = False
         self.may_have_run = False
         self.outstanding: set[int] = set()
 
     @property
     def call_id(self) -> int:
-        """Give the number the daemon knows the call by."""
+        """Return the call's id, shared with the daemon."""
         return self._call_id
 
     @property
     def service(self) -> str:
-        """Name the service called."""
+        """Return the name of the service called."""
         return self._service
 
     @property
     def rule(self) -> Rule:
-        """Give the rule the call falls under."""
+        """Return the rule that applies to the call."""
         return self._rule
 
     @property
     def key(self) -> tuple[str, str]:
-        """Give what names the request at any entry."""
+        """Return the request's key, the same at every entry."""
         return self._service, self.fingerprint
 
     @property
     def is_retry(self) -> bool:
-        """Tell whether a layer above sends the call for a second time."""
+        """Return whether a layer in front is already retrying the call."""
         return self._is_retry
 
     @property
     def arrived_at(self) -> float:
-        """Give when the call arrived, in seconds."""
+        """Return when the call arrived, in seconds."""
         return self._arrived_at
 
     @property
     def deadline_at(self) -> float:
-        """Give the time after which no answer is of use, in seconds."""
+        """Return the time after which an answer is useless, in seconds."""
         return self._deadline_at
 
     @property
     def state(self) -> str:
-        """Name the present state of the call chart."""
+        """Return the current state of the state machine."""
         return self._state
 
     @property
@@ -279,15 +279,15 @@
         return self._attempts
 
     def step(self, event: str) -> None:
-        """Follow the chart; ChartError says the event is not allowed."""
+        """Apply an event; raise ChartError if the state does not allow it."""
         self._state = self._chart.step(self._state, event)
 
     def sent_at(self, attempt: int) -> float:
-        """Give when an attempt was sent, in seconds."""
+        """Return when an attempt was sent, in seconds."""
         return self._sent_at[attempt]
 
     def record_send(self, endpoint: str, now: float) -> int:
-        """Note a send and return its attempt number, from 1."""
+        """Record a send and return its attempt number, counted from 1."""
         attempt = len(self._attempts) + 1
         self._attempts[attempt] = endpoint
         self._sent_at[attempt] = now
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -1,72 +1,74 @@
-"""Ask a few endpoints how they are before a call is sent to one.
+"""Query the load of a few endpoints before a call is sent to one.
 
-Neighbours on an endpoint's vm stretch work several times over for a tenth
-of a second or so, and a call that begins there keeps the pace it began
-with. One entry hears of each endpoint too rarely to know: a report as old
-as a service time says nothing. A question costs a millisecond and shows it.
+Other load on an endpoint's vm slows work down several times over for about
+a tenth of a second, and a call keeps the speed at which it starts. One entry
+gets reports from each endpoint too rarely to notice: a report as old as one
+service time is out of date. A load query takes about a millisecond.
 """
 
 from .endpoints import Endpoint
 from .latencies import Mean
 
-# How long a report is taken for the present state; neighbours change more
-# than five times a second.
+# Age up to which a report counts as current. Other load on an endpoint's vm
+# changes more than five times a second.
 FRESH_S = 0.01
-# Questions go out one after the other: most often the first finds what is
-# wanted, and two at once use up what may be asked in a burst. Worst two
-# seconds (make bench-placing): burst 0.88 one by one, 0.86 two at once, half
-# of the endpoints dark 0.68 and 0.65, with 3.0 and 3.9 questions a call.
+# Endpoints are queried one after the other: most often the first has a free
+# slot, and parallel queries exhaust the budget in a burst. Share of calls
+# within their objective in the worst two seconds, one and two queries at
+# once: 0.88 and 0.86 in a burst, 0.68 and 0.65 with half of the endpoints
+# unreachable, at 3.0 and 3.9 queries per call.
 MAX_ROUNDS = 8
-# So many are asked in the entry's own availability zone.
+# Rounds that query only endpoints in the entry's own availability zone.
 LOCAL_ROUNDS = 5
-# What an answer may take within a region, new connection included; a call
-# waits no longer for what may be a lost endpoint.
+# Covers an answer from within the region on a new connection. A call waits
+# no longer for an endpoint that may be unreachable.
 QUERY_TIMEOUT_S = 0.015
-# A call that finds every endpoint crowded is held at the entry: there it can
-# still go to any of them, and endpoints that slow down when nearly full run
-# more calls a second with a slot left free. Answers to other calls tell of
-# room; where none come, somebody is asked again after so long.
+# A call that finds all endpoints congested is held at the entry, from where
+# it can still go to any of them; endpoints that slow down when nearly full
+# complete more calls per second with one slot left free. Reports on answers
+# to other calls show a free slot; without any, an endpoint is queried again
+# after this time.
 REQUERY_S = 0.05
-# Work that takes longer than this multiple of the usual is worth another
-# question: neighbours cost two or more.
+# Above this multiple of the usual service time another endpoint is queried.
+# Other load on a vm slows work down by a factor of two or more.
 MAX_STRETCH = 1.5
-# Some endpoints slow down when nearly full. Whether those of a service do
-# is learned. Until enough answers tell, none is expected: held back from
-# such endpoints, calls would never show that they do not slow down. A mean
-# of four multiples lies on the wrong side of the bound below 4 in 100 times
-# where nothing slows down and 5 in 100 at a factor of 1.7 (100,000 draws, work
-# log-normal with sigma 0.3), and a slowdown that is not there fades.
+# Some endpoints slow down when nearly full; whether those of a service do is
+# estimated. Until MIN_ANSWERS answers are in, no slowdown is assumed: if
+# calls avoided such endpoints, no answer could show that there is none. The
+# mean of four multiples is on the wrong side of MIN_SLOWDOWN in 4 of 100
+# cases without a slowdown and in 5 of 100 at a factor of 1.7 (log-normal
+# service times, sigma 0.3). An estimate that is wrong decays.
 NEARLY_FULL = 0.8
 INITIAL_FULL_FACTOR = 1.0
 MIN_ANSWERS = 4
-# A slowdown below this is no reason to ask further; medians of a few answers
-# differ by a tenth either way.
+# A smaller slowdown is no reason to query further endpoints; medians of a
+# few answers vary by a tenth either way.
 MIN_SLOWDOWN = 1.3
-# What was learned fades with every answer from an endpoint that was not
-# nearly full, so that it is tried again after some three hundred of them:
-# while it keeps calls away nothing else could show that it is wrong.
+# The estimate decays with each answer from an endpoint that was not nearly
+# full, so that nearly full ones are tried again after about 300 of these.
+# While calls avoid them, nothing else can correct a wrong estimate.
 SLOWDOWN_DECAY = 0.999
-# An answer that a neighbour delayed says little of fullness: it counts as no
-# more than this multiple, above what any nearly full endpoint takes.
+# Caps answers delayed by other load on the vm, which say little about
+# fullness. No endpoint is slowed down this much by being nearly full.
 MAX_MULTIPLE = 3.0
-# What a call finds at an endpoint that was heard of just now: nothing, a
-# last slot in which work takes longer or may do so, or one like any other.
+# What a current report shows for a call: no usable slot, only the last slot,
+# in which work takes or may take longer, or a free slot.
 NO_SLOT = 0
 LAST_SLOT = 1
 FREE_SLOT = 2
-# Questions a second, as a share of what the upstreams allow all entries, and
-# how many seconds' worth may be saved up: in no second do both together come
-# to more than is allowed.
+# Rate of load queries as a share of what the upstreams allow all entries,
+# and the burst in seconds of that rate. Rate and burst together exceed the
+# allowance in no second.
 INQUIRY_SHARE = 2 / 3
 BURST_S = 0.5
 
 
 class Inquiry:
-    """Follow the questions asked for one call, or for its hedge.
+    """Track the load queries sent for one call or for its hedge.
 
-    A ``held`` call asks once, in any zone: the answers to other calls tell
-    of its own, and asked there first it would never learn of room elsewhere
-    while its zone is crowded.
+    For a ``held`` call one round is sent, in any zone: reports on answers
+    to other calls cover its own zone, and while that is congested, local
+    rounds would never find a free slot elsewhere.
     """
 
     __slots__ = (
@@ -92,53 +94,53 @@
 
     @property
     def has_load(self) -> bool:
-        """Tell whether any endpoint answered."""
+        """Return whether any endpoint answered with its load."""
         return self._has_load
 
     @property
     def excluded(self) -> list[str]:
-        """List the addresses that were asked or tried already."""
+        """Return the addresses already queried or tried."""
         return [*self._excluded, *self._queried]
 
     @property
     def queried(self) -> list[str]:
-        """List the addresses that were asked."""
+        """Return the addresses queried so far."""
         return self._queried
 
     @property
     def for_hedge(self) -> bool:
-        """Tell whether a second attempt is to be placed."""
+        """Return whether the queries are for a hedge."""
         return self._for_hedge
 
     @property
     def is_round_over(self) -> bool:
-        """Tell whether every question of this round has its answer."""
+        """Return whether every query of this round has been answered."""
         return not self._pending
 
     @property
     def local_only(self) -> bool:
-        """Tell whether to ask in this availability zone only."""
+        """Return whether to query in this availability zone only."""
         return self._round < LOCAL_ROUNDS
 
     @property
     def has_rounds_left(self) -> bool:
-        """Tell whether others may still be asked."""
+        """Return whether another round may follow."""
         return self._round < MAX_ROUNDS
 
     @property
     def unanswered(self) -> list[str]:
-        """List who has not answered in this round."""
+        """Return the addresses without an answer in this round, sorted."""
         return sorted(self._pending)
 
     def begin_round(self, addresses: list[str], round_ends_at: float) -> None:
-        """Begin a round that is over at a time at the latest."""
+        """Begin a round of queries that ends at the given time."""
         self.round_ends_at = round_ends_at
         self._round += 1
         self._pending = set(addresses)
         self._queried = [*self._queried, *addresses]
 
     def record_answer(self, address: str, has_load: bool) -> bool:
-        """Take a question's end; return whether this call asked it."""
+        """Record the end of a query; return whether this call sent it."""
         if address not in self._pending:
             return False
         self._has_load = self._has_load or has_load
@@ -147,7 +149,7 @@
 
 
 class InquiryBudget:
-    """Bound the questions of one entry by time."""
+    """Limit the rate of one entry's load queries by a token bucket."""
 
     __slots__ = ("_at", "_rate", "_tokens")
 
@@ -158,21 +160,21 @@
 
     @property
     def rate(self) -> float:
-        """Give how many questions a second may be asked."""
+        """Return the queries allowed per second."""
         return self._rate
 
     def limit(self, rate: float) -> None:
-        """Take how many questions a second are this entry's."""
+        """Set this entry's share of the queries per second."""
         self._rate = rate * INQUIRY_SHARE
 
     def spend(self, count: int, now: float) -> bool:
-        """Take questions, if there are so many."""
-        most = self._rate * BURST_S
+        """Spend ``count`` queries, if the budget allows them."""
+        burst = self._rate * BURST_S
         if self._at is None:
-            self._tokens = most
+            self._tokens = burst
         else:
             earned = (now - self._at) * self._rate
-            self._tokens = min(most, self._tokens + earned)
+            self._tokens = min(burst, self._tokens + earned)
         self._at = now
         if self._tokens < count:
             return False
@@ -181,46 +183,46 @@
 
 
 class Fullness:
-    """Learn how much longer work takes at endpoints that are nearly full.
+    """Estimate how much longer work takes at nearly full endpoints.
 
-    Answers count as multiples of what is usual for their kind of call.
+    Latencies are counted as multiples of the median of their rule.
     """
 
-    __slots__ = ("_counts", "_faded", "_free", "_full")
+    __slots__ = ("_counts", "_decay", "_free", "_full")
 
     def __init__(self) -> None:
         self._free = Mean(1.0)
         self._full = Mean(1.0)
         self._counts = [0, 0]
-        self._faded = 1.0
+        self._decay = 1.0
 
     @property
     def is_known(self) -> bool:
-        """Tell whether enough answers have told."""
+        """Return whether there are enough answers for an estimate."""
         return min(self._counts) >= MIN_ANSWERS
 
     @property
     def factor(self) -> float:
-        """Give the slowdown, at least 1."""
+        """Return the factor by which work takes longer, at least 1."""
         if not self.is_known:
             return INITIAL_FULL_FACTOR
         factor = self._full.value / self._free.value
-        return max(1.0, factor * self._faded)
+        return max(1.0, factor * self._decay)
 
     @property
     def is_significant(self) -> bool:
-        """Tell whether being nearly full is a reason to go elsewhere."""
+        """Return whether nearly full endpoints are to be avoided."""
         return self.factor > MIN_SLOWDOWN
 
     def record(self, full: bool, multiple: float) -> None:
-        """Take an answer's time as a multiple of the usual."""
+        """Record a latency as a multiple of its rule's median."""
         self._counts[full] += 1
-        self._faded = 1.0 if full else self._faded * SLOWDOWN_DECAY
+        self._decay = 1.0 if full else self._decay * SLOWDOWN_DECAY
         mean = self._full if full else self._free
         mean.record(min(multiple, MAX_MULTIPLE))
 
     def slot_kind(self, endpoint: Endpoint, now: float) -> int:
-        """Tell what a call sent now is known to find at an endpoint."""
+        """Return which kind of slot a current report shows, if any."""
         age_s = endpoint.report_age_s(now)
         if age_s is None or age_s > FRESH_S:
             return NO_SLOT
@@ -237,5 +239,5 @@
 
 
 def is_nearly_full(endpoint: Endpoint, load: float) -> bool:
-    """Tell whether one more call than the load makes it nearly full."""
+    """Return whether one more call would make an endpoint nearly full."""
     return load + 1 > max(1.0, NEARLY_FULL * endpoint.slots)
--- a/packages/core/nutmegchute_core/inquiry_planners.py
+++ b/packages/core/nutmegchute_core/inquiry_planners.py
@@ -1,4 +1,4 @@
-"""Decide which endpoints of a service are asked for a call."""
+"""Decide which endpoints of a service are queried for a call."""
 
 from .choosers import Chooser
 from .endpoints import Endpoint
@@ -11,7 +11,7 @@
 
 
 class InquiryPlanner:
-    """Say whom to ask within what is allowed, and what answers are worth."""
+    """Select endpoints to query within the budget and rate their reports."""
 
     __slots__ = ("_budget", "_chooser", "_endpoints", "_limit", "_policy")
 
@@ -24,21 +24,21 @@
 
     @property
     def has_budget(self) -> bool:
-        """Tell whether any question may be asked at all."""
+        """Return whether any query is allowed at all."""
         return self._budget.rate > 0
 
     def update(self, endpoints: dict[str, Endpoint]) -> None:
-        """Take the endpoints by address."""
+        """Apply the live endpoints by address."""
         self._endpoints = endpoints
         self.limit(*self._limit)
 
     def limit(self, per_endpoint: float, share: float) -> None:
-        """Take how often a second all entries may ask each endpoint."""
+        """Set the queries per second of all entries, and this one's share."""
         self._limit = (per_endpoint, share)
         self._budget.limit(per_endpoint * len(self._endpoints) * share)
 
     def select(self, inquiry: Inquiry, now: float) -> list[str]:
-        """Return whom to ask before a call is sent, as far as allowed."""
+        """Return the endpoints to query next, within the budget."""
         if not self._policy.inquiries:
             return []
         avoid = inquiry.excluded
@@ -56,7 +56,7 @@
         return [endpoint.address for endpoint in found]
 
     def record_timeout(self, address: str, now: float) -> None:
-        """Leave an endpoint alone that did not answer in time."""
+        """Avoid for a while an endpoint that did not answer in time."""
         endpoint = self._endpoints.get(address)
         if endpoint is None or endpoint.is_unreachable(now):
             return
@@ -64,23 +64,23 @@
             endpoint.mark_unreachable(now)
 
     def has_free_slot(self, address: str, now: float) -> bool:
-        """Tell whether a call can begin at once, at pace, at an endpoint."""
+        """Return whether a call can start at once, at the usual speed."""
         return self.slot_kind(address, now) == FREE_SLOT
 
     def can_stop(self, inquiry: Inquiry, now: float) -> bool:
-        """Tell whether what was found ends the questions."""
+        """Return whether the slots found so far make a query needless."""
         return not inquiry.local_only and self._found_last_slot(inquiry, now)
 
     def slot_kind(self, address: str, now: float) -> int:
-        """Tell what a call sent now is known to find at an address."""
+        """Return which kind of slot a current report shows, if any."""
         endpoint = self._endpoints.get(address)
         if endpoint is None:
             return NO_SLOT
         return self._chooser.slot_kind(endpoint, now)
 
     def _found_last_slot(self, inquiry: Inquiry, now: float) -> bool:
-        # Until it is known that work takes longer in a last slot, it is no
-        # reason to leave the availability zone.
+        # A last slot is a reason to leave the availability zone only once
+        # work is known to take longer in it.
         if self._chooser.fullness.is_significant:
             return False
         for address in inquiry.queried:
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -1,4 +1,4 @@
-"""Keep the pools of all services and what holds for each of them."""
+"""Hold the pools of all services and the settings common to them."""
 
 from collections.abc import Iterable
 from random import Random
@@ -43,7 +43,7 @@
 
     @property
     def evacuations(self) -> EvacuationUpdate:
-        """Give the evacuated availability zones, as known here."""
+        """Return the evacuated availability zones known to this entry."""
         return self._evacuations
 
     def get(self, service: str) -> Pool | None:
@@ -51,19 +51,19 @@
         return self._by_service.get(service)
 
     def __getitem__(self, service: str) -> Pool:
-        """Return the pool of a service that is declared."""
+        """Return the pool of a declared service."""
         return self._by_service[service]
 
     def values(self) -> Iterable[Pool]:
-        """List the pools."""
+        """Return the pools of all services."""
         return self._by_service.values()
 
     def items(self) -> Iterable[tuple[str, Pool]]:
-        """List the services and their pools."""
+        """Return the names of all services with their pools."""
         return self._by_service.items()
 
     def configure(self, services: dict[str, Service], now: float) -> None:
-        """Take the services that the configuration in force declares."""
+        """Apply the services that the configuration in force declares."""
         pools = {}
         for name, service in services.items():
             pool = self.get(name)
@@ -75,13 +75,13 @@
         self._by_service = pools
 
     def limit_extra(self, share: float, burst: float) -> None:
-        """Take this entry's part of each service's extra sends."""
+        """Set this entry's share of each service's retries and hedges."""
         self._extra = (share, burst)
         for pool in self.values():
             pool.limit_extra(share, burst)
 
     def limit_inquiries(self, per_endpoint: float, share: float) -> None:
-        """Take how often a second all entries may ask each endpoint."""
+        """Set the load queries allowed per second and endpoint."""
         if self._inquiry_limit == (per_endpoint, share):
             return
         self._inquiry_limit = (per_endpoint, share)
@@ -89,7 +89,7 @@
             pool.planner.limit(per_endpoint, share)
 
     def update(self, announcements: list[Announcement], now: float) -> None:
-        """Take the live endpoints of every service."""
+        """Apply the live endpoints of every service."""
         by_service: dict[str, list[Announcement]] = {}
         for announcement in announcements:
             by_service.setdefault(announcement.service, []).append(
@@ -99,9 +99,9 @@
             pool.update(by_service.get(name, []), now)
 
     def evacuate(self, news: EvacuationUpdate, now: float) -> bool:
-        """Take the evacuated availability zones; tell if they are newer.
+        """Apply the evacuated availability zones; return if they are newer.
 
-        A replica that was frozen or cut off may still tell old ones.
+        A replica that was frozen or partitioned may still send old ones.
         """
         if news.index <= self._evacuations.index:
             return False
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -1,4 +1,4 @@
-"""Hold one service's endpoints, waiting calls, limits and budgets."""
+"""Hold one service's endpoints, queue, limits and budgets."""
 
 from random import Random
 
@@ -29,45 +29,44 @@
 from .rules import Service
 from .warmups import WarmUps
 
-# Calls of others per slot beyond which a hedge only lengthens queues.
+# Calls of other entries per slot above which a hedge only lengthens queues.
 HEDGE_MAX_LOAD = 0.5
 HEDGE_MIN_FACTOR = 1.5
 TYPICAL_MAX_SHARE = 0.5
 MIN_RETRY_AFTER_S = 0.2
-# Where nobody waits a call was refused by endpoints that shed at random or
-# are leaving, and there is room at once; the rest lets entries hear of a
-# change. With every endpoint shedding 45 in 100 calls, worst two seconds
-# (make bench-placing, five seeds): 0.90 of the calls in time, 0.86 when told
-# 0.05 s.
+# With an empty queue, a call was refused by endpoints that shed at random or
+# are draining, and slots are free at once; the pause lets entries learn of a
+# change. With every endpoint shedding 45 of 100 calls, 0.90 of the calls meet
+# their objective in the worst two seconds, and 0.86 at 0.05 s.
 EMPTY_QUEUE_RETRY_S = 0.01
-# A caller that comes back has used up more than this: its way there and back
-# again on a new connection. Less is the time a call waits for a thread here.
+# A caller that retries has used more than this of its deadline, for a round
+# trip and a new connection. A call waits less than this for a thread here.
 MIN_RETURN_S = 0.01
 TIMED_OUT_SHARE = 0.9
-# A caller that is sent away while others wait comes back after this: soon
-# enough to be in time, and after the first answers that tell of room.
+# Retry-After of a call that is shed while others wait: soon enough to meet
+# its objective, and after the first reports of a free slot.
 CROWDED_RETRY_S = 0.02
 TOO_LATE = "cannot be answered in time"
 ADMIT_SHARE = 0.5
-# Where calls are held until an endpoint has room, those that can still be
-# in time go first, and the wait of one is less than the queue suggests.
+# Where calls are held until an endpoint has a free slot, those that can still
+# meet their objective go first, and wait less than the queue length suggests.
 HELD_ADMIT_SHARE = 0.9
-# For this share of the time in which it can only be late a call leaves one
-# slot of each endpoint to others. Credit in the two seconds after a loss of
-# power: 0.50 with a half of the time, 0.39 without; in the benchmark's (make
-# bench-placing, two seeds, and three for this) 0.68 with a half and 0.77.
+# Share of the time between its objective and its deadline in which a late
+# call leaves one slot of each endpoint to others. Goodput in the two seconds
+# after a power loss: 0.39 without yielding, 0.50 at a share of 0.5. In
+# simulation: 0.68 at 0.5, 0.77 at 0.8.
 YIELD_SHARE = 0.8
-# The time between two sends while calls wait: what is taken at first, and
-# the most that a pause may count for.
+# Time between two sends while calls wait: the initial estimate, and the most
+# that a single gap counts.
 INITIAL_SEND_GAP_S = 0.05
 MAX_SEND_GAP_S = 1.0
-# Routes come and go with the configuration; what is learned of those that
-# went must not be kept for ever.
+# Bounds the latency estimates kept for rules that a newer configuration no
+# longer has.
 MAX_RULES = 1024
 
 
 class Pool:
-    """Decide within one service; the balancer keeps the calls."""
+    """Make the decisions for one service; the balancer owns the calls."""
 
     __slots__ = (
         "_chooser",
@@ -108,7 +107,7 @@
         self._probes = ProbeBudget(service.probes_per_s, service.most_entries)
         self._window = Window()
         self._median = Quantile(0.5)
-        # By rule: what is late for one kind of call is usual for another.
+        # By rule: what is late for one kind of call is normal for another.
         self._rule_latencies: dict[str, RuleLatency] = {}
         self._send_gap = Mean(INITIAL_SEND_GAP_S)
         self._sent_at: float | None = None
@@ -118,22 +117,22 @@
 
     @property
     def service(self) -> Service:
-        """Give what the configuration in force says of the service."""
+        """Return the service as the configuration in force declares it."""
         return self._service
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """Map addresses to the endpoints known."""
+        """Return the known endpoints by address."""
         return self._endpoints
 
     @property
     def in_flight(self) -> int:
-        """Count the attempts under way."""
+        """Return the number of attempts in flight."""
         return len(self._in_flight)
 
     @property
     def retry_after_s(self) -> float:
-        """Estimate when there is room: once those who wait are through."""
+        """Return when to retry: the estimated time to clear the queue."""
         if not self.queue:
             return EMPTY_QUEUE_RETRY_S
         wait_s = len(self.queue) * self._send_gap_s + self._median.value_s
@@ -141,11 +140,11 @@
 
     @property
     def next_probe_at(self) -> float | None:
-        """Give when the next probe may go, in seconds, if any."""
+        """Return when the next probe may be sent, in seconds, if ever."""
         return self._probes.next_at
 
     def reconfigure(self, service: Service) -> None:
-        """Take what a newer configuration says."""
+        """Apply the service's declaration from a newer configuration."""
         if len(self._rule_latencies) > MAX_RULES:
             self._rule_latencies.clear()
         self._service = service
@@ -157,18 +156,18 @@
 
     @property
     def may_query(self) -> bool:
-        """Tell whether endpoints are asked at all."""
+        """Return whether endpoints may be queried at all."""
         return self.holds_calls and self.planner.has_budget
 
     def limit_extra(self, share: float, burst: float) -> None:
-        """Take this entry's part of the extra sends."""
+        """Set this entry's share of the retries and hedges."""
         self._extra.limit(share, burst)
 
     def update(self, announcements: list[Announcement], now: float) -> None:
-        """Take the live endpoints; what is known of the staying ones stays.
+        """Apply the live endpoints and keep the data on known ones.
 
         An endpoint with a new incarnation is a new process: cold, and
-        with none of the calls or failures of the one before.
+        without the calls and failures of its predecessor.
         """
         first = not self._endpoints
         kept = {}
@@ -206,7 +205,7 @@
         self.planner.update(kept)
 
     def admit(self, call: Call, now: float) -> str | None:
-        """Earn the call's share of extra sends; say why it is refused."""
+        """Add to the budget for extra sends; return why to refuse, if so."""
         if not call.is_retry:
             self._extra.earn()
         waiting = len(self.queue)
@@ -224,11 +223,11 @@
         return None
 
     def record_deadline(self, call: Call, deadline_s: float | None) -> None:
-        """Learn from a caller's deadline how long it has tried already.
+        """Estimate from the caller's deadline how long it has been trying.
 
-        A caller that was refused or lost its answer comes back with what is
-        left of its time. Its objective counts from its first try, so a call
-        with less time than others of its rule have has used up some.
+        A caller that retries sends the time it has left. Its objective
+        counts from its first try, so the difference to the longest deadline
+        seen for the rule has been used up already.
         """
         if deadline_s is None:
             return
@@ -239,21 +238,21 @@
         call.is_first_try = used_s < MIN_RETURN_S
 
     def late_at(self, call: Call) -> float:
-        """Give until when a send may still be answered in full use."""
+        """Return the latest send time to meet the objective."""
         return call.objective_at - self._typical_s(call)
 
     def latest_send_at(self, call: Call) -> float:
-        """Give until when a send may still be answered in time."""
+        """Return the latest send time to meet the deadline."""
         if not self._policy.admission:
             return call.deadline_at
         return call.deadline_at - self._typical_s(call)
 
     def too_late(self, call: Call, now: float) -> bool:
-        """Tell whether a call sent now would be answered in vain."""
+        """Return whether a call sent now would miss its deadline."""
         return now >= self.latest_send_at(call)
 
     def unavailable(self, call: Call, now: float) -> Unavailable | None:
-        """Say why a call that waits cannot be served, if so."""
+        """Return why a queued call cannot be served, if so."""
         if self.too_late(call, now):
             return Unavailable(TOO_LATE)
         return self.eligibility.unavailable(now)
@@ -261,15 +260,15 @@
     def should_shed(
         self, call: Call, starts_waiting: bool, now: float
     ) -> bool:
-        """Tell whether a call that found no room should not wait on.
-
-        When more comes than endpoints can take, calls in time go first and
-        late ones wait until their deadline, most of them for nothing. So a
-        late call waits only while it is the only one, and where one waits
-        late already no other ``starts_waiting`` to: refused while it can be in
-        time, it comes back, most often to another entry. A third of the
-        endpoints dark in a burst, worst two seconds (make bench-placing):
-        0.68 of the calls in time, 0.63 when all wait.
+        """Return whether to refuse a call that found no free slot.
+
+        Under overload, calls that can meet their objective go first, and
+        most late ones wait for their deadline in vain. So a late call waits
+        only if it is alone in the queue, and a call that ``starts_waiting``
+        is refused while a late one waits: it can still meet its objective
+        on a retry, most often at another entry. With a third of the
+        endpoints unreachable in a burst, 0.68 of the calls meet their
+        objective in the worst two seconds, and 0.63 if all wait.
         """
         if not self.holds_calls or call.may_have_run:
             return False
@@ -280,16 +279,16 @@
         return starts_waiting and self.queue.count_late(now) > 0
 
     def has_room(self) -> bool:
-        """Tell whether the window lets one more attempt go."""
+        """Return whether the window allows one more attempt."""
         if not self._policy.limit:
             return True
         return self.in_flight < self._window.size
 
     def has_untried_endpoint(self, call: Call) -> bool:
-        """Tell whether an endpoint is left that the call was not sent to.
+        """Return whether there is an endpoint the call was not sent to.
 
-        Without one a retry would wait in the queue for nothing, and its
-        caller would learn only at the deadline what is known now.
+        Without one, a retry would wait in the queue in vain, and its caller
+        would get the failure only at the deadline.
         """
         tried = call.attempts.values()
         for address, endpoint in self._endpoints.items():
@@ -299,20 +298,19 @@
 
     @property
     def holds_calls(self) -> bool:
-        """Tell whether calls wait here until an endpoint has room."""
+        """Return whether calls wait here until an endpoint is free."""
         return self._policy.inquiries and self._chooser.reports_stretch
 
     def may_send(
         self, call: Call, address: str, exempt: bool, now: float
     ) -> bool:
-        """Tell whether a call may go to an endpoint now.
-
-        The window stands in for what one entry does not know of the
-        others' calls. Where endpoints tell, they are believed, unless none
-        could be asked for a ``exempt`` call. A last slot, which is left
-        when no other was found, is taken by calls that can be in time
-        there in spite of its slowness; others would be late in it, and
-        wait for one that others leave.
+        """Return whether a call may be sent to an endpoint now.
+
+        The window replaces knowledge of other entries' calls. Where
+        endpoints report, their reports decide, unless none could be queried
+        for an ``exempt`` call. A last slot, offered only when no other was
+        found, is used by calls that meet their objective there even at its
+        lower speed; others would be late and wait for another slot.
         """
         slot = self.planner.slot_kind(address, now)
         if slot > NO_SLOT and self._should_yield(call, now):
@@ -330,12 +328,12 @@
         return self.has_room()
 
     def _should_yield(self, call: Call, now: float) -> bool:
-        """Tell whether a call that is late leaves a slot to those in time.
+        """Return whether a late call leaves a slot to calls in time.
 
-        After a loss of power callers come back all at once, each late
-        already. Were they to take every slot, all who come after them would
-        wait for one and be late as well, for as long as it goes on. With
-        little time left a late call takes what it gets.
+        After a power loss all callers retry at once, each already late. If
+        they took every slot, all later calls would have to wait and be late
+        too, for as long as the load lasts. Close to its deadline a late
+        call takes any slot.
         """
         if not self._policy.yielding:
             return False
@@ -344,7 +342,7 @@
         return late_at < now < late_at + (latest_at - late_at) * YIELD_SHARE
 
     def choose(self, call: Call, now: float) -> str | None:
-        """Return the address that the call should go to, if any."""
+        """Return the address to send the call to, if any."""
         if call.alone:
             return self.eligibility.find_idle(
                 list(call.attempts.values()), now
@@ -357,9 +355,9 @@
         return None if endpoint is None else endpoint.address
 
     def process_of(self, call: Call, attempt: int) -> str:
-        """Name the start of an endpoint that an attempt was sent to.
+        """Return the id of the process that an attempt was sent to.
 
-        Empty where the service was gone from the configuration meanwhile.
+        It is empty if the service was removed from the configuration since.
         """
         sent = self._in_flight.get((call.call_id, attempt))
         if sent is None:
@@ -369,17 +367,17 @@
         return f"{name}#{announcement.incarnation}"
 
     def instance_at(self, address: str) -> str:
-        """Name the instance known at an address; empty where unnamed."""
+        """Return the name of the instance at an address, or an empty one."""
         endpoint = self._endpoints.get(address)
         return "" if endpoint is None else endpoint.announcement.instance
 
     def basis(self, address: str, now: float) -> dict[str, float]:
-        """Give what is known of an endpoint, for the log."""
+        """Return the data known about an endpoint, for the log."""
         endpoint = self._endpoints.get(address)
         return {} if endpoint is None else endpoint.load_basis(now)
 
     def may_hedge(self, call: Call, now: float) -> bool:
-        """Note that an answer is late; tell whether another may be asked."""
+        """Record that an answer is late; return whether a hedge may follow."""
         address = next(iter(call.attempts.values()))
         endpoint = self._endpoints.get(address)
         if endpoint is not None:
@@ -388,10 +386,9 @@
         if not call.rule.hedge or call.is_retry or self.queue:
             return False
         if self._chooser.never_reports:
-            # Nobody knows of room to spare, and a hedge that takes a slot
-            # makes another call late. In time of calls to a service that
-            # tells nothing, zones unequal (make bench-placing, six seeds):
-            # 0.68 without hedges, 0.64 with them.
+            # Free slots are unknown, and a hedge that takes a slot makes
+            # another call late. With zones of unequal load, 0.68 of the
+            # calls meet their objective without hedges, 0.64 with them.
             return False
         if len(call.attempts) >= call.rule.attempts:
             return False
@@ -400,7 +397,7 @@
         return self._chooser.load_per_slot <= HEDGE_MAX_LOAD
 
     def choose_hedge(self, call: Call, now: float) -> str | None:
-        """Return where to send a late call besides, if anywhere."""
+        """Return the address for a hedge, if any, and spend its budget."""
         if len(call.attempts) >= call.rule.attempts:
             return None
         found = self.choose(call, now)
@@ -409,7 +406,7 @@
         return found
 
     def hedge_delay_s(self, call: Call) -> float | None:
-        """Give after what time a call's first attempt is late."""
+        """Return when a call's first attempt counts as late, in seconds."""
         if not self._policy.hedging or len(call.attempts) > 1:
             return None
         rule_latency = self._latency_of(call)
@@ -419,17 +416,17 @@
         )
 
     def may_retry(self, call: Call) -> bool:
-        """Take one retry from the rule's attempts and the budget."""
+        """Spend one retry if the rule's attempts and the budget allow it."""
         if call.is_retry or len(call.attempts) >= call.rule.attempts:
             return False
         first_try = call.is_first_try and self._policy.returning
         return self._extra.spend_retry(first_try)
 
     def record_attempt(self, call: Call, attempt: int, now: float) -> None:
-        """Count an attempt that starts."""
+        """Record an attempt that is sent."""
         if self._sent_at is not None and self.queue:
-            # While nobody waited nothing was sent for want of calls, not of
-            # room: such a pause, taken for a gap, refused the next calls.
+            # Without waiting calls a pause shows a lack of calls, not of
+            # free slots; counted as a gap it would refuse the next calls.
             waited_s = now - max(self._sent_at, call.arrived_at)
             self._send_gap.record(min(waited_s, MAX_SEND_GAP_S))
         self._sent_at = now
@@ -440,13 +437,13 @@
         endpoint.count_send(now)
 
     def record_cancel(self, call: Call, attempt: int, now: float) -> None:
-        """Count an attempt that ends without an answer."""
+        """Record an attempt that was cancelled."""
         sent = self._release(call.call_id, attempt)
         if sent is not None and self._policy.latency:
             sent.endpoint.record_late(now - call.sent_at(attempt), now)
 
     def record_result(self, call: Call, result: Result, now: float) -> None:
-        """Learn from how an attempt ended."""
+        """Record how an attempt ended."""
         sent = self._release(call.call_id, result.attempt)
         if sent is None:
             return
@@ -462,7 +459,7 @@
         if result.outcome == ANSWERED and not result.failed:
             self._record_answer(endpoint, result, now)
             if not endpoint.is_cold(now):
-                # What a cold endpoint takes is usual for nothing.
+                # A cold endpoint's latencies are not typical of the rule.
                 self._record_latency(call, sent, result.latency_s)
             return
         if not self._is_endpoint_failure(call, result):
@@ -480,7 +477,7 @@
         answered: bool = False,
         cold_s: float | None = None,
     ) -> None:
-        """Learn from a probe; one that ``answered`` may tell no load."""
+        """Record a probe; one that was ``answered`` may carry no load."""
         endpoint = self._endpoints.get(address)
         if endpoint is None:
             return
@@ -497,7 +494,7 @@
         self._chooser.record_probe_answer(endpoint)
 
     def next_probe(self, now: float) -> str | None:
-        """Return the endpoint to probe now, if budget and need allow."""
+        """Return the endpoint to probe now, if one is due."""
         at = self._probes.next_at
         if at is None or now < at:
             return None
@@ -514,7 +511,7 @@
     ) -> None:
         self._chooser.record_answer(endpoint, result.latency_s, now)
         self._median.record(result.latency_s)
-        # Where endpoints tell no load, only those that shed are crowded.
+        # Without load reports, only endpoints that shed count as congested.
         crowded = result.load is not None and self._chooser.is_overloaded(
             endpoint, result.load
         )
@@ -527,9 +524,9 @@
     def _record_shed_without_load(
         self, endpoint: Endpoint, now: float
     ) -> None:
-        """Learn from "not run" where endpoints do not tell their load.
+        """Record "not run" from an endpoint that does not report its load.
 
-        All slots are taken, and calls wait there besides.
+        It is taken to have all slots in use and calls waiting.
         """
         endpoint.record_load(endpoint.slots + endpoint.in_flight, now)
         self._record_congestion(True, now)
@@ -541,32 +538,32 @@
         return service.probes_per_s > 0 and self._policy.probing
 
     def _is_endpoint_failure(self, call: Call, result: Result) -> bool:
-        """Tell whether a failed attempt says anything of the endpoint."""
+        """Return whether a failed attempt counts against the endpoint."""
         if result.outcome == CANCELLED:
             return False
         if result.outcome == NOT_RUN:
-            # One that sheds is busy, not broken.
+            # An endpoint that sheds is busy, not broken.
             return not result.shed and result.load is None
         if result.outcome != LOST:
             return True
-        # A caller that gives a call two milliseconds loses each; counted
-        # as failures, a few such calls would eject healthy endpoints.
+        # Calls with a deadline of two milliseconds are all lost. Counted as
+        # failures, a few of them would eject healthy endpoints.
         given_s = call.deadline_at - call.sent_at(result.attempt)
         timed_out = result.latency_s >= given_s * TIMED_OUT_SHARE
         return not timed_out or given_s >= self._latency_of(call).tail.value_s
 
     @property
     def _send_gap_s(self) -> float:
-        """Estimate the time between two sends when calls wait."""
+        """Return the estimated time between two sends when calls wait."""
         if self.holds_calls:
             return self._send_gap.value
         return self._chooser.latency_s / self._window.size
 
     def _typical_s(self, call: Call) -> float:
-        # Were a slow spell to raise this over the whole deadline, nothing
-        # would be sent any more and so nothing faster ever learned.
-        most_s = (call.deadline_at - call.arrived_at) * TYPICAL_MAX_SHARE
-        return min(most_s, self._latency_of(call).median.value_s)
+        # Capped: if a slow phase raised this above the whole deadline,
+        # nothing would be sent and no lower latency could be recorded.
+        max_s = (call.deadline_at - call.arrived_at) * TYPICAL_MAX_SHARE
+        return min(max_s, self._latency_of(call).median.value_s)
 
     def _record_latency(
         self, call: Call, sent: SentAttempt, latency_s: float
@@ -585,9 +582,9 @@
         return rule_latency
 
     def _release(self, call_id: int, attempt: int) -> SentAttempt | None:
-        # Kept by attempt, not by address: an endpoint that left and came
-        # back would otherwise be credited with the ends of calls that
-        # went to the process before it, and get more than its slots.
+        # By attempt, not by address: ends of calls sent to a previous
+        # process at the address would otherwise free slots of the present
+        # one, which would then get more calls than it has slots.
         sent = self._in_flight.pop((call_id, attempt), None)
         if sent is not None:
             sent.endpoint.in_flight -= 1
