--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -1,9 +1,9 @@
-"""Tell entries, from one control replica, what announces at any of them.
+"""Serve the endpoints registered at all control replicas to entries.
 
-Every entry asks one replica. A replica keeps what announces there, holds a
-copy of what announces at the others, and passes both on. An endpoint that
-leaves is acknowledged once every entry in touch with any replica has seen
-it: each replica confirms for its own entries.
+Each entry watches one replica. A replica keeps a registry of the endpoints
+that announce to it, mirrors the registries of the other replicas, and
+serves both. An endpoint's drain is acknowledged once every entry connected
+to any replica has received it: each replica confirms for its own entries.
 """
 
 from collections.abc import Collection
@@ -22,20 +22,20 @@
 from .warmups import EntryGroup
 from .warmups import group_of
 
-# A tree newer than any, of a replica that has no entries.
+# Tree index reported by a replica that has no entries: above any real one.
 MAX_TREE_INDEX = 2**62
-# A replica that has just started knows no entries of the others. Naming only
-# those that were quickest would send them the callers of all.
+# How long a starting replica waits for the others' entries before it lists
+# any. A list of the first entries alone would direct all callers to them.
 SETTLE_S = 0.7
-# The list of entries is put together anew at most once in so long: while a
-# deployment starts it changes with every entry that comes.
+# Shortest time between two builds of the list of entries, which changes
+# with every entry that starts during a deployment.
 GROUP_REFRESH_S = 1.0
 
 
 class Discovery:
-    """Hold what one replica knows of endpoints, entries and replicas.
+    """Combine a replica's registry, its entry sessions and its peers.
 
-    ``own`` is its gRPC address; ``epoch`` differs at every start.
+    ``own`` is its gRPC address; ``epoch`` must differ at every start.
     """
 
     __slots__ = (
@@ -63,31 +63,32 @@
 
     @property
     def own(self) -> str:
-        """Give this replica's gRPC address."""
+        """Return the gRPC address of this replica."""
         return self._own
 
     @property
     def watermark(self) -> Watermark:
-        """Give the epoch and generation of the own registry."""
+        """Return the epoch and generation of this replica's registry."""
         return self.registry.epoch, self.registry.generation
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether what the other replicas know is in."""
+        """Return whether all peers answered or SETTLE_S has passed."""
         if now - self._started_at >= SETTLE_S:
             return True
         answered, asked = self.peers.count_answered(now)
         return asked > 0 and answered == asked
 
     def is_caught_up(self, now: float) -> bool:
-        """Tell whether half of the other replicas answered lately.
+        """Return whether at least half of the peers have answered.
 
-        With this one they are a majority: what most know is known here.
+        Together with this replica they are a majority, so that it holds
+        what most replicas know.
         """
         answered, asked = self.peers.count_answered(now)
         return 2 * answered >= asked
 
     def record_watch(self, request: WatchRequest, now: float) -> None:
-        """Take an entry's question."""
+        """Record an entry's watch request in its session."""
         self.sessions.record_request(
             request.entry,
             request.watermarks,
@@ -98,7 +99,7 @@
         )
 
     def has_changes(self, request: WatchRequest, now: float) -> bool:
-        """Tell whether an entry lacks something of endpoints."""
+        """Return whether any registry has changes for an entry."""
         if request.watermarks.get(self._own, NO_WATERMARK) != self.watermark:
             return True
         for address, mirror in self.peers.mirrors(now).items():
@@ -109,7 +110,7 @@
         return False
 
     def deltas(self, request: WatchRequest, now: float) -> dict[str, Delta]:
-        """Tell an entry what it lacks, by the replica it announces at."""
+        """Return the deltas that an entry lacks, by replica address."""
         found = {}
         own = request.watermarks.get(self._own, NO_WATERMARK)
         if own != self.watermark:
@@ -121,9 +122,9 @@
         return found
 
     def group(self, known: int, now: float) -> EntryGroup | None:
-        """List all entries, if that is not the list with a digest.
+        """Return the list of all entries unless its digest is ``known``.
 
-        None as well while the other replicas may know more of them.
+        Return None also while entries of other replicas may be missing.
         """
         if now - self._group_at >= GROUP_REFRESH_S and self.is_settled(now):
             self._group_at = now
@@ -134,14 +135,14 @@
         return self._group
 
     def unreachable(self, request: WatchRequest, now: float) -> list[str]:
-        """Name the replicas an entry knows of and this one does not hear."""
-        heard = {self._own, *self.peers.responsive_replicas(now)}
-        return [one for one in request.watermarks if one not in heard]
+        """List the replicas in an entry's watermarks that do not respond."""
+        responsive = {self._own, *self.peers.responsive_replicas(now)}
+        return [one for one in request.watermarks if one not in responsive]
 
     def build_request(
         self, address: str, hold_s: float, now: float
     ) -> PeerRequest:
-        """Build the question for another replica."""
+        """Build the request to another replica."""
         peer = self.peers.find(address)
         applied = self.sessions.applied(now).values()
         return PeerRequest(
@@ -155,7 +156,7 @@
         )
 
     def has_peer_changes(self, request: PeerRequest) -> bool:
-        """Tell whether another replica lacks something."""
+        """Return whether the reply to a peer would have changes."""
         if (
             request.watermark != self.watermark
             or request.confirm < self._confirm
@@ -164,7 +165,7 @@
         return request.sessions != self.sessions.generation
 
     def build_reply(self, request: PeerRequest, now: float) -> PeerReply:
-        """Tell another replica what it lacks."""
+        """Build the reply to a peer, with the changes that it lacks."""
         delta = None
         if request.watermark != self.watermark:
             delta = self.registry.since(*request.watermark, now)
@@ -181,24 +182,24 @@
         )
 
     def apply_reply(self, address: str, reply: PeerReply, now: float) -> bool:
-        """Take another replica's answer; return whether it is news."""
+        """Apply a peer's reply; return whether its registry changed."""
         for state in reply.entries:
             if state.is_connected:
                 self.sessions.release(state.info.name)
         return self.peers.apply_reply(address, reply, now)
 
     def request_confirmation(self, generation: int) -> None:
-        """Ask the other replicas to confirm a generation."""
+        """Request that the peers confirm a generation of the registry."""
         self._confirm = max(self._confirm, generation)
 
     def unconfirmed(self, generation: int, now: float) -> list[str]:
-        """Name the entries and replicas that may not know a generation."""
+        """List the entries and peers that have not confirmed a generation."""
         watermark = (self.registry.epoch, generation)
         entries = self.sessions.unconfirmed(self._own, watermark, now)
         return [*entries, *self.peers.unconfirmed(generation, now)]
 
     def pending_confirmations(self, now: float) -> dict[str, Confirmation]:
-        """Give what can be confirmed now, by the replica that wants it."""
+        """Map the peers that await a confirmation to the one now due."""
         found = {}
         for address in self.peers.addresses:
             peer = self.peers.find(address)
@@ -212,46 +213,48 @@
             found[address] = Confirmation(self._own, epoch, peer.confirm)
         return found
 
-    def record_acknowledged(self, address: str, seen: Confirmation) -> None:
-        """Take word that a confirmation arrived."""
+    def record_acknowledged(
+        self, address: str, confirmation: Confirmation
+    ) -> None:
+        """Record that a peer acknowledged a confirmation."""
         peer = self.peers.find(address)
-        if peer is not None and peer.mirror.watermark[0] == seen.epoch:
-            peer.confirmed = max(peer.confirmed, seen.generation)
+        if peer is not None and peer.mirror.watermark[0] == confirmation.epoch:
+            peer.confirmed = max(peer.confirmed, confirmation.generation)
 
     def has_lagging_entry(self, index: int, now: float) -> bool:
-        """Tell whether an entry in touch has an older tree in force."""
+        """Return whether a connected entry has a tree older than an index."""
         if any(one < index for one in self.sessions.applied(now).values()):
             return True
         return self.peers.has_lagging_entry(index, now)
 
     def count_entries(self, now: float) -> int:
-        """Count the entries heard of lately by any replica."""
+        """Count the entries seen by any replica within ENTRY_TTL_S."""
         return len(self.sessions.names(now) | self.peers.entry_names(now))
 
     def calls_per_s(self, now: float) -> float:
-        """Add up what all entries have to place."""
+        """Return the calls per second reported by all entries."""
         return self.sessions.calls_per_s(now) + self.peers.calls_per_s(now)
 
     def usable_entries(
         self,
         zone: str | None,
-        most: int,
+        limit: int,
         now: float,
         evacuated: Collection[str] = (),
     ) -> list[str]:
-        """Return the addresses that a caller in a zone should use."""
+        """Return up to ``limit`` entry addresses for a caller in a zone."""
         if not self.is_settled(now):
             return []
         self._rotation += 1
-        words = {one.name: one for one in self.peers.connected_entries(now)}
+        infos = {one.name: one for one in self.peers.connected_entries(now)}
         for info in self.sessions.connected_entries(now):
-            words[info.name] = info
+            infos[info.name] = info
         return choose_entries(
-            list(words.values()), zone, most, self._rotation, evacuated
+            list(infos.values()), zone, limit, self._rotation, evacuated
         )
 
     def expire(self, now: float) -> bool:
-        """Drop who is silent; return whether any of it is news."""
+        """Expire sessions and leases; return whether any changed."""
         self.peers.expire(now)
-        late = self.sessions.expire(now)
-        return self.registry.expire(now) or late
+        disconnected = self.sessions.expire(now)
+        return self.registry.expire(now) or disconnected
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -1,7 +1,7 @@
-"""Know, on a control replica, the other replicas and what they told.
+"""Track, on a control replica, the other replicas and their registries.
 
-Each replica holds an open question at each other one. Entries ask one
-replica only; what announces elsewhere reaches them through it.
+Each replica keeps a long poll open at every other one. An entry watches one
+replica only and receives the endpoints of the others' registries from it.
 """
 
 import msgspec
@@ -13,27 +13,30 @@
 from .sessions import ENTRY_TTL_S
 from .sessions import EntryState
 
-# How long a question between replicas is held when there is nothing new.
+# How long a long poll between replicas is held while nothing changes.
 PEER_HOLD_S = 1.0
-# A replica that answered within this time is heard: a hold, a busy replica
-# and one try more.
+# A replica counts as reachable this long after its last message: one hold, a
+# busy replica and one retry.
 REACHABLE_S = 2.0
-# A replica silent for so long has no entries any more. It was alive a hold
-# before at the most, and its entries gave it up within 1.4 s of its end.
+# A replica counts as gone, and without entries, this long after its last
+# message: it stopped at most a hold after that, and its entries leave it
+# within 1.4 s of its end.
 GONE_AFTER_S = 3.0
-# What a silent replica told is passed on for so long; entries drop it then.
+# How long the mirror of a silent replica is served; entries drop its
+# endpoints then.
 MIRROR_TTL_S = 10.0
-# Longer between two looks means that this replica stood still.
+# A longer gap between two checks means that this process was suspended.
 PAUSE_S = 1.0
 
 
 class PeerRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask another replica for what announces and asks there.
+    """Request the changes of another replica's registry and sessions.
 
-    ``mark`` is what is held of its registry, ``sessions`` the generation of
-    its entries' sessions, ``confirm`` the generation that it wants to be
-    confirmed. ``hears`` lists the replicas that the asking one hears and
-    ``applied`` is the oldest tree in force at its entries.
+    ``watermark``, ``sessions`` and ``confirm`` are what the sender holds of
+    the receiver: the position in its registry, the generation of its entry
+    sessions and the generation that it wants confirmed. ``reachable`` lists
+    the replicas from which the sender receives messages, ``applied`` is the
+    index of the oldest tree in force at the sender's entries.
     """
 
     replica: str
@@ -46,10 +49,10 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True, array_like=True):
-    """Tell another replica what announces and asks here.
+    """Carry the changes of this replica's registry and sessions.
 
-    Entries must have seen generation ``confirm`` of the registry before
-    something is acknowledged; who asked says so by ``Seen``.
+    The receiver sends a ``Confirmation`` once its entries hold generation
+    ``confirm`` of the registry: a drain waits for it to be acknowledged.
     """
 
     epoch: int
@@ -61,7 +64,7 @@
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True):
-    """Say that all entries of a replica have seen a generation.
+    """Confirm that all entries of a replica hold a registry generation.
 
     ``epoch`` and ``generation`` are those of the receiver's registry.
     """
@@ -72,11 +75,11 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True):
-    """Say that a message has arrived."""
+    """Acknowledge a message."""
 
 
 class PeerEntry:
-    """Hold what another replica told of an entry, and when."""
+    """Hold the state of an entry of another replica and its time."""
 
     __slots__ = ("at", "state")
 
@@ -86,7 +89,7 @@
 
 
 class Peer:
-    """Hold what is known of one other replica."""
+    """Hold the state of one other replica."""
 
     __slots__ = (
         "answered_at",
@@ -106,44 +109,44 @@
         self.mirror = Mirror()
         self.entries: dict[str, PeerEntry] = {}
         self.sessions = 0
-        # Any message of it counts; it may be heard and not hear.
+        # Time of the last message, request or reply: a link may fail in one
+        # direction only.
         self.heard_at = now
         self.answered_at: float | None = None
         self.reachable: frozenset[str] = frozenset()
         self.applied: int | None = None
         self.calls_per_s = 0.0
-        # The generation of its registry that it wants to be confirmed, and
-        # the one that was.
+        # Generation of its registry that it wants confirmed, and the newest
+        # one for which it acknowledged a confirmation.
         self.confirm = 0
         self.confirmed = 0
-        # The generation of our registry that its entries have seen.
+        # Generation of this replica's registry that its entries hold.
         self.seen_generation = 0
 
 
 class Peers:
-    """Follow the other replicas; ``own`` is this one's gRPC address."""
+    """Track the other replicas; ``own`` is this one's gRPC address."""
 
-    __slots__ = ("_looked_at", "_own", "_peers")
+    __slots__ = ("_checked_at", "_own", "_peers")
 
     def __init__(self, own: str, now: float) -> None:
         self._own = own
-        self._looked_at = now
+        self._checked_at = now
         self._peers: dict[str, Peer] = {}
 
     @property
     def addresses(self) -> list[str]:
-        """List the other replicas."""
+        """Return the addresses of the other replicas."""
         return list(self._peers)
 
     def find(self, address: str) -> Peer | None:
-        """Return what is known of a replica."""
+        """Return the state of a replica, if it is known."""
         return self._peers.get(address)
 
     def update(self, addresses: list[str], now: float) -> None:
-        """Take which replicas the group consists of.
+        """Apply the members of the group.
 
-        One that was removed may still have entries for as long as it is
-        heard.
+        A removed replica is kept until it is gone: it may have entries.
         """
         for address in addresses:
             if address != self._own and address not in self._peers:
@@ -153,13 +156,13 @@
                 del self._peers[address]
 
     def detect_pause(self, now: float) -> bool:
-        """Tell whether this replica stood still since it looked last.
+        """Return whether this process was suspended since the last check.
 
-        Every other one seems silent then, and its entries would be passed
-        over in what is acknowledged next; so each is heard out anew.
+        All peers seem silent after a suspension, and the next drain would be
+        acknowledged without their entries. So their timeouts start anew.
         """
-        paused = now - self._looked_at > PAUSE_S
-        self._looked_at = now
+        paused = now - self._checked_at > PAUSE_S
+        self._checked_at = now
         if paused:
             for peer in self._peers.values():
                 peer.heard_at = now
@@ -167,10 +170,10 @@
         return paused
 
     def record_request(self, request: PeerRequest, now: float) -> None:
-        """Take another replica's question."""
+        """Record the request of another replica."""
         peer = self._peers.get(request.replica)
         if peer is None:
-            # A member that this replica has not read of yet.
+            # A new member whose membership change has not arrived here yet.
             peer = self._peers[request.replica] = Peer(now)
         peer.heard_at = now
         peer.reachable = frozenset(request.reachable)
@@ -179,7 +182,7 @@
     def record_confirmation(
         self, confirmation: Confirmation, epoch: int, now: float
     ) -> None:
-        """Take a confirmation; ``epoch`` is that of the own registry."""
+        """Record a confirmation, if it is for this registry's ``epoch``."""
         peer = self._peers.get(confirmation.replica)
         if peer is None or confirmation.epoch != epoch:
             return
@@ -189,7 +192,7 @@
         )
 
     def apply_reply(self, address: str, reply: PeerReply, now: float) -> bool:
-        """Take an answer; return whether it is news for entries."""
+        """Apply a reply; return whether the mirror of its registry changed."""
         peer = self._peers.get(address)
         if peer is None:
             return False
@@ -209,7 +212,7 @@
         return peer.mirror.apply(reply.delta, now)
 
     def expire(self, now: float) -> None:
-        """Forget the entries that left long ago."""
+        """Drop the entries that disconnected ENTRY_TTL_S ago."""
         for peer in self._peers.values():
             for name, known in list(peer.entries.items()):
                 if (
@@ -221,7 +224,7 @@
                     del peer.entries[name]
 
     def unconfirmed(self, generation: int, now: float) -> list[str]:
-        """Name the replicas whose entries may not have seen a generation."""
+        """List the replicas that have not confirmed a generation."""
         found = []
         for address, peer in self._peers.items():
             if peer.seen_generation < generation and not self._is_gone(
@@ -231,7 +234,7 @@
         return found
 
     def reachable_replicas(self, now: float) -> list[str]:
-        """List the replicas that are heard, be it one way."""
+        """List the replicas whose messages arrive, be it one way."""
         found = []
         for address, peer in self._peers.items():
             if now - peer.heard_at <= REACHABLE_S:
@@ -239,19 +242,19 @@
         return found
 
     def responsive_replicas(self, now: float) -> list[str]:
-        """List the replicas that answer this one."""
+        """List the replicas that reply to this one."""
         found = []
         for address, peer in self._peers.items():
-            if _answers(peer, now):
+            if _is_responsive(peer, now):
                 found.append(address)
         return found
 
     def count_answered(self, now: float) -> tuple[int, int]:
-        """Count who answered since the last pause, and all that are there.
+        """Count the replicas that replied since the last pause, and all.
 
-        One that was replaced and is still listed would be waited for as
-        long as it is; with another one lost, entries were refused a tree
-        on which the rest agrees.
+        Replicas that are gone count in neither. If one that was replaced
+        but is still listed counted, the loss of another would keep entries
+        from the tree on which the remaining replicas agree.
         """
         answered = 0
         asked = 0
@@ -263,7 +266,7 @@
         return answered, asked
 
     def mirrors(self, now: float) -> dict[str, Mirror]:
-        """Map the replicas that were heard lately to their mirrors."""
+        """Map the replicas heard within MIRROR_TTL_S to their mirrors."""
         found = {}
         for address, peer in self._peers.items():
             if now - peer.heard_at <= MIRROR_TTL_S:
@@ -271,10 +274,10 @@
         return found
 
     def connected_entries(self, now: float) -> list[EntryInfo]:
-        """List the entries that ask the replicas that answer."""
+        """List the entries connected to responsive replicas."""
         found = []
         for peer in self._peers.values():
-            if not _answers(peer, now):
+            if not _is_responsive(peer, now):
                 continue
             for known in peer.entries.values():
                 if known.state.is_connected:
@@ -282,7 +285,7 @@
         return found
 
     def entry_names(self, now: float) -> set[str]:
-        """Name the entries heard of lately."""
+        """Return the entries that other replicas saw within ENTRY_TTL_S."""
         found = set()
         for peer in self._peers.values():
             for name, known in peer.entries.items():
@@ -291,7 +294,7 @@
         return found
 
     def entry_zones(self, now: float) -> dict[str, str]:
-        """Map the entries heard of lately to their availability zones."""
+        """Map the entries seen within ENTRY_TTL_S to availability zones."""
         found = {}
         for peer in self._peers.values():
             for name, known in peer.entries.items():
@@ -300,15 +303,15 @@
         return found
 
     def calls_per_s(self, now: float) -> float:
-        """Add up what the entries of the replicas that answer have."""
+        """Return the calls per second reported by responsive replicas."""
         total = 0.0
         for peer in self._peers.values():
-            if _answers(peer, now):
+            if _is_responsive(peer, now):
                 total += peer.calls_per_s
         return total
 
     def has_lagging_entry(self, index: int, now: float) -> bool:
-        """Tell whether another replica's entries have an older tree."""
+        """Return whether an entry of a peer has a tree older than an index."""
         for address, peer in self._peers.items():
             if self._is_gone(address, now) or peer.applied is None:
                 continue
@@ -317,10 +320,10 @@
         return False
 
     def _is_gone(self, address: str, now: float) -> bool:
-        """Tell whether a replica has no entries any more.
+        """Return whether a replica is gone and thus has no entries.
 
-        One that is cut off from this replica alone may well have some;
-        then others hear it, and this replica cannot speak for it.
+        A replica that is unreachable from this one alone may have entries.
+        It is not gone as long as another reachable replica hears it.
         """
         if now - self._peers[address].heard_at <= GONE_AFTER_S:
             return False
@@ -332,7 +335,7 @@
         return True
 
 
-def _answers(peer: Peer, now: float) -> bool:
+def _is_responsive(peer: Peer, now: float) -> bool:
     return (
         peer.answered_at is not None and now - peer.answered_at <= REACHABLE_S
     )
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -1,4 +1,4 @@
-"""Know, on a control replica, which entries ask it and what they know."""
+"""Track the entries that watch a control replica and what each holds."""
 
 from collections.abc import Collection
 
@@ -14,46 +14,46 @@
 from .quarantines import QuarantineUpdate
 from .warmups import EntryGroup
 
-# How long a question is held when there is nothing new. An entry asks one
-# replica only, so this and the margin bound how long it goes on by old news
-# after that replica froze: 1.4 s, where an endpoint that leaves and a change
-# of the configuration allow 2 s.
+# How long a watch is held while nothing changes. An entry watches one replica
+# only, so this and the entry's margin bound how long it uses stale data after
+# that replica freezes: 1.4 s, where drains and configuration changes allow
+# 2 s.
 WATCH_HOLD_S = 0.8
-# An entry asks again once its question was answered; one that is late by
-# this much is gone, frozen, cut off or asks another replica. It outlasts
-# what the entry itself waits beyond the hold.
+# How long after the hold a session without a new request expires. The entry
+# is then gone, frozen, partitioned or watching another replica. Longer than
+# the entry itself waits beyond the hold.
 SESSION_MARGIN_S = 0.8
-# Once answered it asks again within this time, or it has not got the answer:
-# its link is full, or it is gone. A leaving is acknowledged within 0.8 s or
-# not at all, and must not wait for that. Such an entry gives its question up
-# 1.4 s after it asked and is told by another replica, while what was
-# acknowledged binds it 2 s later.
+# How long after a reply a session without a new request expires. The entry is
+# gone, or its saturated link delays the reply. A drain is acknowledged within
+# 0.8 s or not at all and must not wait for it. Such an entry times out 1.4 s
+# after its request and watches another replica; an acknowledged drain binds
+# it only after 2 s.
 ANSWERED_MARGIN_S = 0.5
-# How long an entry counts among those that share the extra sends. Too high
-# a count only leaves a part of the budget unused.
+# How long after its last request an entry counts among those that share the
+# budget of extra sends. Too high a count only leaves some of it unused.
 ENTRY_TTL_S = 60.0
-# Fewer entries of a caller's availability zone than this are not named
-# alone: all its callers would depend on one process.
+# Fewest entries of a caller's availability zone that are returned alone: with
+# fewer, all callers of the zone would depend on one process.
 MIN_ZONE_ENTRIES = 2
 
 
 class ReplicaInfo(msgspec.Struct, frozen=True, array_like=True):
-    """Name a control replica as entries reach it."""
+    """Describe a control replica as entries reach it."""
 
     address: str
     availability_zone: str
 
 
 class WatchRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a control replica for what an entry does not know yet.
-
-    ``marks`` maps replicas' addresses to the epoch and generation held of
-    their registries, ``index`` is that of the tree in force here,
-    ``members`` that of the membership known. The answer may be held for
-    ``hold_s`` seconds. ``calls_per_s`` is what the entry has to place,
-    ``quarantine`` the index of the cases that it knows, ``evacuations`` that
-    of the evacuated availability zones, ``group`` the digest of the list of
-    entries that it has.
+    """Request from a control replica what an entry lacks.
+
+    ``watermarks`` maps replica addresses to the epoch and generation
+    received of their registries. ``index``, ``members``, ``quarantine`` and
+    ``evacuations`` are the indexes of the tree in force at the entry, of
+    the replicas' membership, of the quarantine cases and of the evacuated
+    availability zones that it holds; ``group`` is the digest of its list of
+    entries. The reply may be held for ``hold_s`` seconds. ``calls_per_s`` is
+    the rate of calls that the entry receives.
     """
 
     entry: EntryInfo
@@ -68,18 +68,18 @@
 
 
 class WatchReply(msgspec.Struct, frozen=True, array_like=True):
-    """Tell an entry what is new.
-
-    ``deltas`` maps replicas' addresses to what changed at each. ``current``
-    says that this replica is in contact with the others; one that is not
-    may know an old state only, gives no tree, and an entry asks another.
-    ``replicas`` lists all replicas, None where nothing changed. ``silent``
-    names those that the entry knows of and this replica does not hear.
-    ``entries`` counts the entries of all replicas and ``calls_per_s`` adds
-    up what they told; ``counted`` says that none of them is left out.
-    ``quarantine`` lists the requests that crash endpoints, ``evacuations``
-    the evacuated availability zones, ``group`` all entries, each where it is
-    news.
+    """Carry the changes that an entry lacks.
+
+    ``deltas`` maps replica addresses to the changes of their registries.
+    ``current`` says that this replica is in contact with a majority; if
+    not, its state may be stale, it sends no tree, and the entry watches
+    another. ``replicas`` lists all replicas, None if unchanged.
+    ``unreachable`` lists the replicas in the entry's watermarks that do not
+    respond to this one. ``entries`` counts the entries of all replicas,
+    ``calls_per_s`` is the sum of the rates that they report, and ``counted``
+    says that both are complete. ``quarantine`` lists the requests that crash
+    endpoints, ``evacuations`` the evacuated availability zones, ``group``
+    all entries; each is None if unchanged.
     """
 
     deltas: dict[str, Delta]
@@ -97,14 +97,14 @@
 
 
 class EntryState(msgspec.Struct, frozen=True, array_like=True):
-    """Describe an entry and whether it asks the replica that says so."""
+    """Describe an entry and whether it watches the sending replica."""
 
     info: EntryInfo
     is_connected: bool
 
 
 class EntrySession:
-    """Hold what one entry said last."""
+    """Hold the last request of one entry."""
 
     __slots__ = (
         "calls_per_s",
@@ -124,26 +124,26 @@
         self.index = 0
         self.requested_at = 0.0
         self.calls_per_s = 0.0
-        # When it asks again at the latest.
+        # Deadline of the next request.
         self.due_at = 0.0
         self.closed = True
         self.held = False
-        # The generation of the sessions in which other replicas must hear
-        # of this one anew.
+        # Generation of the sessions that last changed this one; replicas
+        # that hold an earlier generation receive it again.
         self.changed = 0
 
     def is_connected(self, now: float) -> bool:
-        """Tell whether the entry is in touch."""
+        """Return whether the session is open and its deadline not passed."""
         return not self.closed and now <= self.due_at
 
-    def has_seen(self, replica: str, watermark: Watermark) -> bool:
-        """Tell whether the entry knows a generation of a registry."""
+    def has_received(self, replica: str, watermark: Watermark) -> bool:
+        """Return whether the entry holds a generation of a registry."""
         epoch, generation = self.watermarks.get(replica, NO_WATERMARK)
         return epoch == watermark[0] and generation >= watermark[1]
 
 
 class EntrySessions:
-    """Record the entries that ask and what each has seen."""
+    """Track the sessions of all entries that watch this replica."""
 
     __slots__ = ("_generation", "_sessions")
 
@@ -153,7 +153,7 @@
 
     @property
     def generation(self) -> int:
-        """Count the changes that other replicas are told, from 1."""
+        """Return the generation, which counts session changes from 1."""
         return self._generation
 
     def record_request(
@@ -165,12 +165,12 @@
         now: float,
         calls_per_s: float = 0.0,
     ) -> None:
-        """Take an entry's question."""
+        """Record a watch request; open the entry's session if need be."""
         session = self._sessions.get(info.name)
         if session is None:
             session = self._sessions[info.name] = EntrySession(info)
         if session.closed or session.info != info:
-            self._note(session)
+            self._mark_changed(session)
         session.info = info
         session.watermarks = watermarks
         session.index = index
@@ -181,7 +181,7 @@
         session.held = True
 
     def record_answer(self, name: str, now: float) -> None:
-        """Take word that an entry's question got its answer."""
+        """Record that an entry's watch was replied to."""
         session = self._sessions.get(name)
         if session is not None:
             due_at = now + ANSWERED_MARGIN_S
@@ -189,23 +189,23 @@
             session.held = False
 
     def release(self, name: str) -> None:
-        """Take word that an entry asks another replica.
+        """Close the session of an entry that watches another replica.
 
-        It is not waited for here any more, unless it has come back.
+        A session with a held watch stays open: the entry has come back.
         """
         session = self._sessions.get(name)
         if session is not None and not session.held:
             self.close(name)
 
     def close(self, name: str) -> None:
-        """Take word that an entry's connection ended."""
+        """Close the session of an entry whose connection ended."""
         session = self._sessions.get(name)
         if session is not None and not session.closed:
             session.closed = True
-            self._note(session)
+            self._mark_changed(session)
 
     def expire(self, now: float) -> bool:
-        """Close the sessions of entries that are late; tell if any was."""
+        """Close overdue sessions; return whether any was closed."""
         before = self._generation
         for name, session in list(self._sessions.items()):
             if not session.is_connected(now):
@@ -215,7 +215,7 @@
         return self._generation != before
 
     def since(self, generation: int) -> list[EntryState]:
-        """List the entries that changed since a generation."""
+        """List the entries whose session changed since a generation."""
         found = []
         for session in self._sessions.values():
             if session.changed > generation:
@@ -225,17 +225,17 @@
     def unconfirmed(
         self, replica: str, watermark: Watermark, now: float
     ) -> list[str]:
-        """Name the entries in touch that have not seen a generation."""
+        """List the connected entries that lack a generation of a registry."""
         found = []
         for name, session in self._sessions.items():
-            if session.is_connected(now) and not session.has_seen(
+            if session.is_connected(now) and not session.has_received(
                 replica, watermark
             ):
                 found.append(name)
         return found
 
     def applied(self, now: float) -> dict[str, int]:
-        """Map the entries in touch to the tree each has in force."""
+        """Map the connected entries to the index of the tree each applies."""
         found = {}
         for name, session in self._sessions.items():
             if session.is_connected(now):
@@ -243,7 +243,7 @@
         return found
 
     def names(self, now: float) -> set[str]:
-        """Name the entries heard of lately, rather too many than too few."""
+        """Return the entries seen within ENTRY_TTL_S, connected or not."""
         found = set()
         for name, session in self._sessions.items():
             if now - session.requested_at <= ENTRY_TTL_S:
@@ -251,7 +251,7 @@
         return found
 
     def zones(self, now: float) -> dict[str, str]:
-        """Map the entries heard of lately to their availability zones."""
+        """Map the entries seen within ENTRY_TTL_S to availability zones."""
         found = {}
         for name, session in self._sessions.items():
             if now - session.requested_at <= ENTRY_TTL_S:
@@ -259,7 +259,7 @@
         return found
 
     def calls_per_s(self, now: float) -> float:
-        """Add up what the entries in touch have to place."""
+        """Return the calls per second reported by connected entries."""
         total = 0.0
         for session in self._sessions.values():
             if session.is_connected(now):
@@ -267,46 +267,46 @@
         return total
 
     def any_connected(self, now: float) -> bool:
-        """Tell whether any entry is in touch."""
+        """Return whether any entry is connected."""
         return any(one.is_connected(now) for one in self._sessions.values())
 
     def connected_entries(self, now: float) -> list[EntryInfo]:
-        """List the entries in touch."""
+        """List the connected entries."""
         found = []
         for session in self._sessions.values():
             if session.is_connected(now):
                 found.append(session.info)
         return found
 
-    def _note(self, session: EntrySession) -> None:
+    def _mark_changed(self, session: EntrySession) -> None:
         self._generation += 1
         session.changed = self._generation
 
 
 def choose_entries(
-    words: list[EntryInfo],
+    infos: list[EntryInfo],
     zone: str | None,
-    most: int,
-    turn: int,
+    limit: int,
+    rotation: int,
     evacuated: Collection[str] = (),
 ) -> list[str]:
-    """Return the addresses that a caller in a zone should use.
+    """Return up to ``limit`` entry addresses for a caller in a zone.
 
-    Where there are more than ``most``, each turn begins with another one.
+    If there are more, successive ``rotation`` values start at later ones.
     """
     near: list[str] = []
     others: list[str] = []
-    staying = [info for info in words if not info.draining]
-    for info in exclude_evacuated(staying, evacuated):
+    remaining = [info for info in infos if not info.draining]
+    for info in exclude_evacuated(remaining, evacuated):
         same = info.availability_zone == zone
         (near if same else others).append(info.address)
     if len(near) >= MIN_ZONE_ENTRIES:
-        return _some(near, most, turn)
-    return [*near, *_some(others, most - len(near), turn)]
+        return _rotate(near, limit, rotation)
+    return [*near, *_rotate(others, limit - len(near), rotation)]
 
 
-def _some(addresses: list[str], most: int, turn: int) -> list[str]:
-    if len(addresses) <= most:
+def _rotate(addresses: list[str], limit: int, rotation: int) -> list[str]:
+    if len(addresses) <= limit:
         return addresses
-    start = turn * most % len(addresses)
-    return (addresses[start:] + addresses[:start])[:most]
+    start = rotation * limit % len(addresses)
+    return (addresses[start:] + addresses[:start])[:limit]
