--- a/packages/core/nutmegchute_core/histories.py
+++ b/packages/core/nutmegchute_core/histories.py
@@ -1,4 +1,4 @@
-"""Remember in which generation of a set each of its processes changed."""
+"""Record the generation in which each process of a registry changed."""
 
 from collections import OrderedDict
 
@@ -7,19 +7,19 @@
 from .members import Announcement
 from .members import Process
 
-# How long the end of a process is remembered, so that a heartbeat of it that
-# was under way meanwhile does not bring it back. A partition holds heartbeats
-# back for as long as it lasts and TCP goes on trying for a minute.
+# How long the tombstone of a process is kept, so that a delayed heartbeat does
+# not bring the process back. A partition delays heartbeats for as long as it
+# lasts, and TCP retransmits for a minute.
 TOMBSTONE_TTL_S = 120.0
 MAX_TOMBSTONES = 8192
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
-    """Lead from generation ``base`` of a registry to ``generation``.
+    """Carry the changes of a registry from ``base`` to ``generation``.
 
-    A base of 0 means that ``present`` is all there is. ``ended`` names
-    processes that will never come back, ``lapsed`` those that are silent
-    here and may live on elsewhere.
+    If ``base`` is 0, ``present`` is the whole registry. ``ended`` lists
+    processes that never come back, ``lapsed`` those whose lease expired
+    here and that may announce to another replica.
     """
 
     epoch: int
@@ -31,7 +31,7 @@
 
 
 class Tombstone:
-    """Hold when and in which generation a process went."""
+    """Hold the time and generation in which a process was removed."""
 
     __slots__ = ("at", "ended", "generation")
 
@@ -42,9 +42,9 @@
 
 
 class ProcessChanges:
-    """Name what leads from generation ``base`` to the newest one.
+    """List the processes that changed since generation ``base``.
 
-    A base of 0 means that ``changed`` names all there is.
+    If ``base`` is 0, ``changed`` lists all processes of the set.
     """
 
     __slots__ = ("base", "changed", "ended", "lapsed")
@@ -57,62 +57,64 @@
 
 
 class History:
-    """Know the generation in which each process came, changed or went."""
+    """Track in which generation processes were added, changed or removed."""
 
-    __slots__ = ("_changes", "_pruned_to", "_removals")
+    __slots__ = ("_changes", "_pruned_to", "_tombstones")
 
     def __init__(self, pruned_to: int) -> None:
-        # Removals up to this generation are not known any more.
+        # Tombstones up to this generation have been pruned.
         self._pruned_to = pruned_to
         self._changes: dict[Process, int] = {}
-        self._removals: OrderedDict[Process, Tombstone] = OrderedDict()
+        self._tombstones: OrderedDict[Process, Tombstone] = OrderedDict()
 
     def has_ended(self, process: Process) -> bool:
-        """Tell whether a process is known to be gone for good."""
-        removal = self._removals.get(process)
-        return removal is not None and removal.ended
+        """Return whether a process has ended for good."""
+        tombstone = self._tombstones.get(process)
+        return tombstone is not None and tombstone.ended
 
     def changed_in(self, process: Process) -> int:
-        """Give the generation in which a process changed or went; else 0."""
-        removal = self._removals.get(process)
-        if removal is not None:
-            return removal.generation
+        """Return the generation in which a process last changed, else 0."""
+        tombstone = self._tombstones.get(process)
+        if tombstone is not None:
+            return tombstone.generation
         return self._changes.get(process, 0)
 
     def change(self, process: Process, generation: int) -> None:
-        """Note that a process came or changed."""
-        self._removals.pop(process, None)
+        """Record that a process was added or changed."""
+        self._tombstones.pop(process, None)
         self._changes[process] = generation
 
     def remove(
         self, process: Process, generation: int, now: float, ended: bool
     ) -> None:
-        """Note that a process went."""
+        """Record the tombstone of a removed process."""
         self._changes.pop(process, None)
-        self._removals.pop(process, None)
-        self._removals[process] = Tombstone(now, generation, ended)
+        self._tombstones.pop(process, None)
+        self._tombstones[process] = Tombstone(now, generation, ended)
 
-    def prune(self, now: float, most: int) -> list[Process]:
-        """Drop old removals; return whose."""
+    def prune(self, now: float, limit: int) -> list[Process]:
+        """Prune old tombstones; return their processes."""
         dropped = []
-        while self._removals:
-            process, removal = next(iter(self._removals.items()))
-            young = now - removal.at <= TOMBSTONE_TTL_S
-            if young and len(self._removals) <= most:
+        while self._tombstones:
+            process, tombstone = next(iter(self._tombstones.items()))
+            is_young = now - tombstone.at <= TOMBSTONE_TTL_S
+            if is_young and len(self._tombstones) <= limit:
                 break
-            del self._removals[process]
-            self._pruned_to = max(self._pruned_to, removal.generation)
+            del self._tombstones[process]
+            self._pruned_to = max(self._pruned_to, tombstone.generation)
             dropped.append(process)
         return dropped
 
     def since(self, base: int) -> ProcessChanges:
-        """Name what changed since a generation."""
-        lead = ProcessChanges(0 if base < self._pruned_to else base)
+        """Return the processes that changed since a generation."""
+        changes = ProcessChanges(0 if base < self._pruned_to else base)
         for process, generation in self._changes.items():
-            if generation > lead.base:
-                lead.changed.append(process)
-        for process, removal in self._removals.items():
-            if removal.generation <= lead.base:
+            if generation > changes.base:
+                changes.changed.append(process)
+        for process, tombstone in self._tombstones.items():
+            if tombstone.generation <= changes.base:
                 continue
-            (lead.ended if removal.ended else lead.lapsed).append(process)
-        return lead
+            (changes.ended if tombstone.ended else changes.lapsed).append(
+                process
+            )
+        return changes
--- a/packages/core/nutmegchute_core/members.py
+++ b/packages/core/nutmegchute_core/members.py
@@ -1,4 +1,4 @@
-"""Hold what endpoints announce and what entries vouch for."""
+"""Define announcements and the sets of them that entries gossip."""
 
 from collections import OrderedDict
 from typing import Annotated
@@ -9,12 +9,14 @@
 UP = "up"
 DRAINING = "draining"
 
+# How long an announcement keeps an endpoint in the set of its entry.
 LEASE_S = 3.0
+# How long a gossip message keeps another entry's set valid.
 GOSSIP_LEASE_S = 2.5
 
 MAX_CHANGES = 256
 
-# No endpoint is slow for longer after its start; a larger figure is wrong.
+# No endpoint is slow for longer after its start; a larger value is an error.
 MAX_COLD_S = 3600.0
 
 
@@ -29,13 +31,13 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """Say that an endpoint lives, and in which state.
+    """Announce that an endpoint is alive, and its state.
 
-    ``incarnation`` rises at every start of the endpoint, so that words
-    about an earlier process at the same address, or of the same instance,
-    lose against newer ones. ``instance`` names the endpoint where several
-    have one address in turn; ``cold_s`` tells for how many seconds more it
-    is slow after its start.
+    ``incarnation`` rises at every start of the endpoint, so that newer
+    announcements supersede those of an earlier process at the same address
+    or of the same instance. ``instance`` names the endpoint where several
+    use one address in turn; ``cold_s`` is for how many seconds more it is
+    slow after its start.
     """
 
     service: Annotated[str, msgspec.Meta(pattern=NAME_PATTERN, max_length=63)]
@@ -51,23 +53,23 @@
 
     @property
     def key(self) -> Key:
-        """Give service and address, which name the endpoint."""
+        """Return service and address, which identify the endpoint."""
         return (self.service, self.endpoint)
 
     @property
     def process(self) -> Process:
-        """Give instance and incarnation, which name the process."""
+        """Return instance and incarnation, which identify the process."""
         return (self.instance, self.incarnation)
 
 
 class GossipMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Say which state of its own set an entry vouches for.
+    """Carry the state of an entry's own set to another entry.
 
-    ``changed`` and ``removed`` lead from generation ``base`` (0: from
-    nothing) to ``generation``; at rest both are empty. ``digest`` is that
-    of the whole set. ``echo`` repeats the mark of the last word heard from
-    the receiver; ``seen_epoch`` and ``seen_generation`` tell what the
-    sender holds of the receiver's set.
+    ``changed`` and ``removed`` are the delta from generation ``base`` (0:
+    from the empty set) to ``generation``; without changes both are empty.
+    ``digest`` is that of the whole set. ``acknowledged`` is the sequence of
+    the last message from the receiver; ``received_epoch`` and
+    ``received_generation`` are what the sender holds of the receiver's set.
     """
 
     epoch: int
@@ -83,7 +85,7 @@
 
 
 class Changes:
-    """List what leads from a generation of a set to the present one."""
+    """Hold the delta from a generation of a set to the newest one."""
 
     __slots__ = ("base", "changed", "removed")
 
@@ -117,17 +119,17 @@
 
     @property
     def epoch(self) -> int:
-        """Give the number of this entry's run."""
+        """Return the epoch, which differs at every start of the entry."""
         return self._epoch
 
     @property
     def generation(self) -> int:
-        """Count the changes of the set, from 1."""
+        """Return the generation, which counts changes from 1."""
         return self._generation
 
     @property
     def digest(self) -> int:
-        """Give a digest of the whole set."""
+        """Return the digest of the whole set."""
         return self._digest
 
     def __len__(self) -> int:
@@ -140,7 +142,7 @@
         return known[0] if known is not None else None
 
     def announcements(self) -> list[Announcement]:
-        """List what the endpoints announced."""
+        """List the newest announcement of each endpoint."""
         return [announcement for announcement, _ in self._leases.values()]
 
     def put(self, announcement: Announcement, now: float) -> bool:
@@ -152,25 +154,25 @@
         if old is not None:
             self._digest ^= digest_of(old)
         self._digest ^= digest_of(announcement)
-        self._note(announcement.key)
+        self._mark_changed(announcement.key)
         return True
 
     def remove(self, key: Key) -> None:
-        """Take an endpoint out of the set."""
+        """Remove an endpoint from the set."""
         announcement, _ = self._leases.pop(key)
         self._digest ^= digest_of(announcement)
-        self._note(key)
+        self._mark_changed(key)
 
-    def lapsed(self, now: float) -> list[Key]:
-        """List the endpoints whose lease ran out."""
+    def expired(self, now: float) -> list[Key]:
+        """List the endpoints whose lease has expired."""
         return [
             key
-            for key, (_, heard_at) in self._leases.items()
-            if now - heard_at > LEASE_S
+            for key, (_, announced_at) in self._leases.items()
+            if now - announced_at > LEASE_S
         ]
 
     def since(self, base: int) -> Changes | None:
-        """Give what changed after a generation; None: no longer known."""
+        """Return the delta from a generation, None if it was pruned."""
         if base < self._pruned_to:
             return None
         changed: list[Announcement] = []
@@ -185,7 +187,7 @@
             changed.append(announcement)
         return Changes(base, changed, removed)
 
-    def _note(self, key: Key) -> None:
+    def _mark_changed(self, key: Key) -> None:
         self._generation += 1
         self._changes.pop(key, None)
         self._changes[key] = self._generation
@@ -194,7 +196,7 @@
 
 
 class PeerSet:
-    """Hold what another entry vouches for, and since when."""
+    """Hold the set that another entry gossips and its validity."""
 
     __slots__ = (
         "valid_at",
@@ -220,25 +222,25 @@
         self.received = (0, 0)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the vouch still stands."""
+        """Return whether the set was valid within GOSSIP_LEASE_S."""
         return (
             self.valid_at is not None and now - self.valid_at <= GOSSIP_LEASE_S
         )
 
     def clear(self) -> None:
-        """Drop the set; the next word brings it whole."""
+        """Clear the set; the next message carries it whole."""
         self.generation = 0
         self.digest = 0
         self.announcements_by_key = {}
 
     def put(self, announcement: Announcement) -> None:
-        """Take an announcement in place of the one known."""
+        """Add or replace the announcement of an endpoint."""
         self.remove(announcement.key)
         self.announcements_by_key[announcement.key] = announcement
         self.digest ^= digest_of(announcement)
 
     def remove(self, key: Key) -> None:
-        """Take an endpoint out of the set, if it is there."""
+        """Remove an endpoint from the set, if present."""
         old = self.announcements_by_key.pop(key, None)
         if old is not None:
             self.digest ^= digest_of(old)
--- a/packages/core/nutmegchute_core/mirrors.py
+++ b/packages/core/nutmegchute_core/mirrors.py
@@ -1,4 +1,4 @@
-"""Copy, on a control replica, the endpoints that announce at another."""
+"""Mirror, on a control replica, the registry of another replica."""
 
 import msgspec
 
@@ -8,13 +8,13 @@
 from .members import Announcement
 from .members import Process
 
-# What of a registry is known: its epoch and the generation.
+# Epoch and generation up to which a registry has been received.
 Watermark = tuple[int, int]
 NO_WATERMARK: Watermark = (0, 0)
 
 
 class MirroredRecord:
-    """Hold an endpoint and until when it is slow after its start."""
+    """Hold an announcement and the end of the endpoint's cold time."""
 
     __slots__ = ("announcement", "cold_until")
 
@@ -24,10 +24,10 @@
 
 
 class Mirror:
-    """Follow another replica's registry and tell of it in its own terms.
+    """Hold a copy of another replica's registry and serve its deltas.
 
-    Epoch and generations stay those of the registry, so that an entry that
-    asks another replica from now on need not be told anything twice.
+    Epoch and generations are those of the registry, so that an entry that
+    switches to another replica does not receive anything twice.
     """
 
     __slots__ = ("_epoch", "_generation", "_history", "_records")
@@ -40,13 +40,13 @@
 
     @property
     def watermark(self) -> Watermark:
-        """Give the epoch and generation that are held."""
+        """Return the epoch and generation held of the registry."""
         return self._epoch, self._generation
 
     def apply(self, delta: Delta, now: float) -> bool:
-        """Take what the registry told; return whether it fits."""
+        """Apply a delta; return whether it continues what is held."""
         if delta.base and (delta.epoch, delta.base) != self.watermark:
-            # It leads on from another generation; asking again gives all.
+            # The delta has another base; the next request fetches all.
             self._generation = 0
             return False
         if delta.base == 0:
@@ -66,9 +66,9 @@
         return True
 
     def is_ahead_of(self, watermark: Watermark) -> bool:
-        """Tell whether an entry that holds a mark lacks something.
+        """Return whether an entry with a watermark lacks changes.
 
-        One that was told by another replica may be ahead.
+        An entry that switched replicas may be ahead of this mirror.
         """
         epoch, generation = watermark
         if self._generation == 0:
@@ -76,11 +76,13 @@
         return epoch != self._epoch or generation < self._generation
 
     def since(self, watermark: Watermark, now: float) -> Delta:
-        """Tell what changed since a mark."""
+        """Return the delta from a watermark."""
         epoch, generation = watermark
-        lead = self._history.since(generation if epoch == self._epoch else 0)
+        changes = self._history.since(
+            generation if epoch == self._epoch else 0
+        )
         present = []
-        for process in lead.changed:
+        for process in changes.changed:
             record = self._records[process]
             left_s = max(0.0, record.cold_until - now)
             present.append(
@@ -88,11 +90,11 @@
             )
         return Delta(
             epoch=self._epoch,
-            base=lead.base,
+            base=changes.base,
             generation=self._generation,
             present=present,
-            ended=lead.ended,
-            lapsed=lead.lapsed,
+            ended=changes.ended,
+            lapsed=changes.lapsed,
         )
 
     def _remove(self, process: Process, now: float, ended: bool) -> None:
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -1,10 +1,10 @@
-"""Know which endpoints live: leases by announcement, spread by gossip.
+"""Track live endpoints by leases and spread them by gossip.
 
-An endpoint announces itself to one entry, which keeps it in its own set
-for a lease. Entries tell each other only which generation of that set
-they vouch for; announcements travel when the set changes. No timestamp
-ever travels: each word names the last word heard from its receiver, and
-the receiver dates it by its own clock at the moment it sent that one.
+An endpoint announces itself to one entry, which holds a lease for it in its
+own set. Entries gossip only the generation of that set; announcements are
+sent when the set changes. No message has a timestamp: each acknowledges the
+last message from its receiver, and the receiver takes the time at which it
+sent that one, by its own clock, as the time of the reply.
 """
 
 from collections import OrderedDict
@@ -19,14 +19,17 @@
 from .members import OwnSet
 from .members import PeerSet
 
+# How long an address keeps its incarnation floor after the last announcement.
 FLOOR_S = 60.0
+# A longer gap between two calls means that this process was suspended.
 PAUSE_S = 1.0
+# How long announcements are refused after a suspension.
 QUIET_S = 0.5
 
 MAX_ENDPOINTS = 4096
 MAX_PEERS = 64
 MAX_FLOORS = 8192
-MAX_MARKS = 16
+MAX_SENT_SEQUENCES = 16
 
 RENEWED = "taken"
 CHANGED = "changed"
@@ -36,20 +39,20 @@
 
 
 class Floor:
-    """Hold the least incarnation that an address may still show."""
+    """Hold the lowest incarnation that an address may announce."""
 
-    __slots__ = ("drained", "heard_at", "incarnation")
+    __slots__ = ("drained", "updated_at", "incarnation")
 
     def __init__(
-        self, incarnation: int, drained: bool, heard_at: float
+        self, incarnation: int, drained: bool, updated_at: float
     ) -> None:
         self.incarnation = incarnation
         self.drained = drained
-        self.heard_at = heard_at
+        self.updated_at = updated_at
 
 
 class Roster:
-    """Merge announcements and vouches into the set of live endpoints.
+    """Merge announcements and gossip into the set of live endpoints.
 
     ``epoch`` must differ at every start of the entry.
     """
@@ -75,18 +78,18 @@
 
     @property
     def generation(self) -> int:
-        """Count the changes of this entry's own set."""
+        """Return the generation of this entry's own set."""
         return self._own.generation
 
     def floor(self, key: Key) -> int:
-        """Give the highest incarnation heard of at an address."""
+        """Return the highest incarnation seen at an address, else 0."""
         floor = self._floors.get(key)
         return floor.incarnation if floor is not None else 0
 
     def announce(self, announcement: Announcement, now: float) -> str:
-        """Take an endpoint's own word.
+        """Renew an endpoint's lease.
 
-        Return TAKEN, CHANGED, STALE (a newer incarnation is known), FULL
+        Return RENEWED, CHANGED, STALE (a newer incarnation is known), FULL
         or PAUSED (announce again in QUIET_S).
         """
         self._detect_pause(now)
@@ -99,34 +102,34 @@
         if self._own.get(key) is None and len(self._own) >= MAX_ENDPOINTS:
             return FULL
         self._raise_floor(announcement, now)
-        changed = self._own.put(self._settle(announcement), now)
+        changed = self._own.put(self._apply_drain(announcement), now)
         return CHANGED if changed else RENEWED
 
     def expire(self, now: float) -> bool:
-        """Drop what lapsed; return whether this entry's own set changed."""
+        """Drop expired leases; return whether the own set changed."""
         self._detect_pause(now)
-        lapsed = self._own.lapsed(now)
-        for key in lapsed:
+        expired = self._own.expired(now)
+        for key in expired:
             self._own.remove(key)
         for peer in self._peers.values():
             if not peer.is_fresh(now):
                 peer.clear()
         while self._floors:
             key, floor = next(iter(self._floors.items()))
-            if now - floor.heard_at <= FLOOR_S:
+            if now - floor.updated_at <= FLOOR_S:
                 break
             del self._floors[key]
-        return bool(lapsed)
+        return bool(expired)
 
     def build_message(self, peer_name: str, now: float) -> GossipMessage:
-        """Build the word for another entry."""
+        """Build the gossip message to another entry."""
         self.expire(now)
         peer = self._peer(peer_name)
         changes = Changes(self._own.generation, [], [])
         if peer is not None and peer.acknowledged:
             changes = self._changes_for(peer)
         self._sequence += 1
-        build_message = GossipMessage(
+        message = GossipMessage(
             epoch=self._own.epoch,
             generation=self._own.generation,
             digest=self._own.digest,
@@ -139,46 +142,46 @@
             received_generation=peer.generation if peer is not None else 0,
         )
         if peer is not None:
-            peer.sent_at[build_message.sequence] = now
-            if len(peer.sent_at) > MAX_MARKS:
+            peer.sent_at[message.sequence] = now
+            if len(peer.sent_at) > MAX_SENT_SEQUENCES:
                 peer.sent_at.popitem(last=False)
-        return build_message
+        return message
 
     def receive(
-        self, name: str, build_message: GossipMessage, now: float
+        self, name: str, message: GossipMessage, now: float
     ) -> float | None:
-        """Take another entry's word.
+        """Merge a gossip message from another entry.
 
-        Return when it was true at the latest by this entry's clock, None
-        where that cannot be told yet.
+        Return the time, by this entry's clock, as of which it is valid;
+        None if that is unknown.
         """
         peer = self._peer(name)
         if peer is None:
             return None
         if (
-            build_message.epoch != peer.acknowledged_epoch
-            or build_message.sequence > peer.acknowledged
+            message.epoch != peer.acknowledged_epoch
+            or message.sequence > peer.acknowledged
         ):
-            peer.acknowledged = build_message.sequence
-            peer.acknowledged_epoch = build_message.epoch
+            peer.acknowledged = message.sequence
+            peer.acknowledged_epoch = message.epoch
             peer.received = (
-                build_message.received_epoch,
-                build_message.received_generation,
+                message.received_epoch,
+                message.received_generation,
             )
-        valid_at = peer.sent_at.get(build_message.acknowledged)
-        # A word that answers none of ours may have been under way for any
-        # time, or come from an earlier run of the entry: taken as new, it
-        # would bring back endpoints that have left.
+        valid_at = peer.sent_at.get(message.acknowledged)
+        # A message that acknowledges none of ours may have been delayed for
+        # any time or be from an earlier run of the entry. Merged, it would
+        # bring back endpoints that have left.
         if valid_at is None:
             return None
         if peer.valid_at is not None and valid_at < peer.valid_at:
             return None
-        if self._merge(peer, build_message, now):
+        if self._merge(peer, message, now):
             peer.valid_at = valid_at
         return valid_at
 
     def live(self, now: float) -> list[Announcement]:
-        """List every endpoint someone vouches for, by service and address."""
+        """List the live endpoints in any set, by service and address."""
         found: dict[Key, Announcement] = {}
         for announcement in self._own.announcements():
             found[announcement.key] = announcement
@@ -191,11 +194,11 @@
                     found[key] = announcement
         listed = []
         for key in sorted(found):
-            listed.append(self._settle(found[key]))
+            listed.append(self._apply_drain(found[key]))
         return listed
 
     def version(self, now: float) -> tuple[object, ...]:
-        """Give a value that differs whenever ``live`` does."""
+        """Return a value that changes whenever ``live`` does."""
         peers = []
         for name, peer in self._peers.items():
             if peer.is_fresh(now):
@@ -203,24 +206,24 @@
         return self._own.generation, self._drains, tuple(peers)
 
     def _merge(
-        self, peer: PeerSet, build_message: GossipMessage, now: float
+        self, peer: PeerSet, message: GossipMessage, now: float
     ) -> bool:
-        if build_message.epoch != peer.epoch:
+        if message.epoch != peer.epoch:
             peer.clear()
-            peer.epoch = build_message.epoch
-        if build_message.generation < peer.generation:
+            peer.epoch = message.epoch
+        if message.generation < peer.generation:
             return False
-        if build_message.base > peer.generation:
+        if message.base > peer.generation:
             return False
-        if build_message.base == 0:
+        if message.base == 0:
             peer.clear()
-        for key in build_message.removed:
+        for key in message.removed:
             peer.remove(key)
-        for announcement in build_message.changed:
+        for announcement in message.changed:
             peer.put(announcement)
             self._raise_floor(announcement, now)
-        peer.generation = build_message.generation
-        if peer.digest == build_message.digest:
+        peer.generation = message.generation
+        if peer.digest == message.digest:
             return True
         peer.clear()
         return False
@@ -239,14 +242,14 @@
             peer = self._peers[name] = PeerSet()
         return peer
 
-    def _settle(self, announcement: Announcement) -> Announcement:
+    def _apply_drain(self, announcement: Announcement) -> Announcement:
         floor = self._floors.get(announcement.key)
         if floor is None or not floor.drained:
             return announcement
         if announcement.incarnation > floor.incarnation:
             return announcement
-        # Drain is final within an incarnation: a delayed "up", or one
-        # still vouched for by the entry the endpoint has moved away from,
+        # Draining is final within an incarnation: a delayed "up", or one
+        # still gossiped by the entry from which the endpoint has moved,
         # must not bring it back.
         return msgspec.structs.replace(announcement, state=DRAINING)
 
@@ -258,15 +261,15 @@
             floor = Floor(announcement.incarnation, drained, now)
         elif floor.incarnation == announcement.incarnation:
             floor.drained = floor.drained or drained
-            floor.heard_at = now
+            floor.updated_at = now
         self._floors[announcement.key] = floor
         if len(self._floors) > MAX_FLOORS:
             self._floors.popitem(last=False)
 
     def _detect_pause(self, now: float) -> None:
-        # A process that was stopped for a while wakes to announcements
-        # that waited in its sockets. The endpoints that sent them may have
-        # drained at another entry since; those that live announce again.
+        # After a suspension the sockets hold old announcements. Endpoints
+        # that sent them may have drained at another entry since; live ones
+        # announce again.
         if self._checked_at is not None and now - self._checked_at > PAUSE_S:
             self._quiet_until = now + QUIET_S
         self._checked_at = now
