--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -72,11 +72,11 @@
 
     @property
     def has_synced(self) -> bool:
-        """Tell whether any replica has told its endpoints."""
+        """Return whether any replica has told its endpoints."""
         return any(one.generation for one in self._sources.values())
 
     def watermark(self, replica: str) -> tuple[int, int]:
-        """Give the epoch and generation held of a replica."""
+        """Return the epoch and generation held of a replica."""
         source = self._sources.get(replica)
         if source is None:
             return 0, 0
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint where a call is expected to end first."""
+"""Choose the endpoint that is expected to answer a call first."""
 
 from math import inf
 from math import sqrt
@@ -16,70 +16,77 @@
 from .warmups import WarmUpLimit
 from .warmups import WarmUps
 
-# Both bounds keep the cost of a decision the same at any pool size. The
-# endpoints heard last are those of which anything is known: at a pool's
-# mean load a report says little after a few service times.
-RECENT = 8
-SAMPLE = 8
-
-# A report's age of half weight, in mean latencies.
-REPORT_KEPT = 1.0
-# Spread of the load estimate: even below its slots an endpoint may queue.
-SPREAD = 1.0
-OTHER_ZONE_S = 0.002
-# Bytes between availability zones are dear: a call that can be answered
-# within its objective here goes elsewhere only where that is expected to
-# save this much of a usual answer's time.
-OTHER_ZONE_SHARE = 1.0
-# Of what is left of the objective, this much is taken for certain enough.
+# Candidates per decision: the endpoints that reported last and a random
+# sample. Bounded, so that a decision costs the same at any pool size. Older
+# reports say little: at a pool's mean load they are outdated after a few
+# service times.
+MAX_RECENT = 8
+SAMPLE_SIZE = 8
+
+# Age at which a report counts half, in mean latencies.
+REPORT_HALF_AGE = 1.0
+# Spread of the load estimate: an endpoint may queue calls even while its
+# estimated load is below its slots.
+LOAD_SPREAD = 1.0
+# Extra time of a call to another availability zone.
+ZONE_CROSSING_S = 0.002
+# Traffic between availability zones is expensive: a call that can meet its
+# objective in the local zone leaves it only to save at least this many mean
+# latencies.
+MIN_ZONE_GAIN = 1.0
+# Share of the remaining objective that an estimate may use up, as a margin
+# for its error.
 OBJECTIVE_SHARE = 0.8
-# A suspect is passed over while others will do. Suspicion fades, for an
-# endpoint that gets nothing cannot answer and so clear itself.
-SUSPECT_FACTOR = 1.0
-ZONE_STALLS = 2
-STALL_S = 1.0
-# Latency counts only beyond this multiple of the mean: below, it tells of
-# the calls and of the queue that the load reports tell of already.
+# Weight of late answers in the score. Their effect decays with time, since an
+# endpoint that gets no calls cannot answer any and recover its score.
+STALL_FACTOR = 1.0
+# Stalled endpoints of one availability zone that make the zone suspect.
+MIN_ZONE_STALLS = 2
+STALL_AGE_S = 1.0
+# An endpoint's latency counts only above this multiple of the mean. Below, it
+# reflects the mix of calls, and queueing that the load reports show already.
 LATENCY_BAND = 1.25
-EJECTED_MOST_SHARE = 0.5
-# Work that may wait at an endpoint, as a share of its slots, before the
-# entry keeps its calls back. Too little lets slots run dry between two
-# calls; too much lets calls wait where none can overtake them.
+# No endpoint counts as ejected while more than this share of the pool is.
+MAX_EJECTED_SHARE = 0.5
+# Calls that may queue at an endpoint, as a share of its slots, before the
+# entry queues calls itself. Too few leave slots idle between two calls; too
+# many make calls wait where more urgent ones cannot overtake them.
 QUEUE_SHARE = 0.5
+# Time after an ejection before a trial may go ahead without a probe answer.
 PROBE_WAIT_S = 16.0
-# Endpoints that have told their pace are still held to do so until so many
-# answers in a row say nothing: some answers come from a cache or a proxy.
+# Successive answers without a report after which endpoints no longer count as
+# reporting. Some answers lack a report because a cache or proxy sent them.
 MAX_UNREPORTED = 8
 
 
 class ZoneStalls:
-    """Hold where answers are late since a zone's last answer."""
+    """Hold the endpoints that stalled since their zone's last answer."""
 
-    __slots__ = ("addresses", "at")
+    __slots__ = ("addresses", "last_at")
 
     def __init__(self) -> None:
         self.addresses: set[str] = set()
-        self.at = 0.0
+        self.last_at = 0.0
 
 
 class Chooser:
-    """Score a bounded set of candidates, the best one wins."""
+    """Choose the candidate with the lowest expected time to answer."""
 
     __slots__ = (
         "_ejected",
-        "_latency",
-        "_members",
-        "_order",
-        "_others",
+        "_mean_latency",
+        "_endpoint_set",
+        "_endpoints",
+        "_mean_others",
         "_policy",
         "_random",
         "_recent",
         "_slots",
         "_stalls",
-        "_stretch",
-        "_stretches",
-        "_tells_nothing",
-        "_untold",
+        "_mean_stretch",
+        "_has_stretch",
+        "_never_reports",
+        "_unreported",
         "fullness",
         "probed",
         "warm_up",
@@ -91,56 +98,56 @@
         self.warm_up = WarmUpLimit(WarmUps(), None)
         self._random = random
         self._policy = policy
-        self._order: list[Endpoint] = []
+        self._endpoints: list[Endpoint] = []
         self._slots = 1.0
-        self._members: set[Endpoint] = set()
-        # A dict for its order: the endpoint heard last comes last.
+        self._endpoint_set: set[Endpoint] = set()
+        # Ordered by the time of the last report, the latest last.
         self._recent: dict[Endpoint, None] = {}
         self._ejected: set[Endpoint] = set()
         self._stalls: dict[str, ZoneStalls] = {}
-        self._latency = Mean(INITIAL_LATENCY_S)
-        self._others = Mean(0.0)
-        self._stretch = Mean(1.0)
-        # Whether endpoints tell how long work takes; None: not known yet.
-        self._stretches: bool | None = None
-        self._tells_nothing = False
-        # Answers in a row that told nothing.
-        self._untold = 0
+        self._mean_latency = Mean(INITIAL_LATENCY_S)
+        self._mean_others = Mean(0.0)
+        self._mean_stretch = Mean(1.0)
+        # Whether endpoints report their stretch; None while unknown.
+        self._has_stretch: bool | None = None
+        self._never_reports = False
+        # Successive answers without a report.
+        self._unreported = 0
 
     @property
     def latency_s(self) -> float:
-        """Give the mean latency of answers, in seconds."""
-        return self._latency.value
+        """Return the mean latency of answers, in seconds."""
+        return self._mean_latency.value
 
     @property
     def reports_stretch(self) -> bool:
-        """Tell whether endpoints say how long work takes."""
-        return bool(self._stretches)
+        """Return whether endpoints report how much work is slowed down."""
+        return bool(self._has_stretch)
 
     @property
     def never_reports(self) -> bool:
-        """Tell whether endpoints are known to say nothing of their load."""
-        return self._tells_nothing
+        """Return whether endpoints are known not to report their load."""
+        return self._never_reports
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no endpoint may be chosen."""
-        return not self._order
+        """Return whether no endpoint may be chosen."""
+        return not self._endpoints
 
     @property
     def load_per_slot(self) -> float:
-        """Give the mean load that other entries put on a slot."""
-        return self._others.value / self._slots
+        """Return the mean load from other entries per slot."""
+        return self._mean_others.value / self._slots
 
     def update(self, endpoints: list[Endpoint]) -> None:
-        """Take the endpoints that may be chosen."""
-        self._order = endpoints
+        """Replace the endpoints that may be chosen."""
+        self._endpoints = endpoints
         slots = sum(endpoint.slots for endpoint in endpoints)
         self._slots = slots / max(1, len(endpoints)) or 1.0
-        self._members = set(endpoints)
-        self._ejected &= self._members
+        self._endpoint_set = set(endpoints)
+        self._ejected &= self._endpoint_set
         for endpoint in list(self._recent):
-            if endpoint not in self._members:
+            if endpoint not in self._endpoint_set:
                 del self._recent[endpoint]
 
     def choose(
@@ -150,20 +157,21 @@
         now: float,
         within_s: float = inf,
     ) -> Endpoint | None:
-        """Return the best endpoint; ``trial`` allows one on trial.
+        """Return the best endpoint, or None.
 
-        ``within_s`` is what is left of the call's objective.
+        ``trial`` allows an ejected endpoint whose trial is due. ``within_s``
+        is the time left of the call's objective, in seconds.
         """
         best = None
         best_score = inf
         best_slot = NO_SLOT
-        near = None
-        near_score = inf
-        near_slot = NO_SLOT
+        best_local = None
+        local_score = inf
+        local_slot = NO_SLOT
         for endpoint in self._eligible(avoid, trial, now):
             score = self.score(endpoint, now)
-            # One that has just told that it is free goes before those of
-            # which only the mean is known.
+            # An endpoint whose fresh report shows a free slot goes before
+            # those whose load is only estimated.
             slot = self.slot_kind(endpoint, now)
             if (-slot, score) < (-best_slot, best_score):
                 best = endpoint
@@ -171,41 +179,41 @@
                 best_slot = slot
             if not endpoint.local:
                 continue
-            if (-slot, score) < (-near_slot, near_score):
-                near = endpoint
-                near_score = score
-                near_slot = slot
+            if (-slot, score) < (-local_slot, local_score):
+                best_local = endpoint
+                local_score = score
+                local_slot = slot
         if best is None:
-            return self._any(avoid, trial, now)
-        if near is None or near_score > within_s * OBJECTIVE_SHARE:
+            return self._first_allowed(avoid, trial, now)
+        if best_local is None or local_score > within_s * OBJECTIVE_SHARE:
             return best
         if best_slot > NO_SLOT:
-            return near if near_slot == best_slot else best
-        saved_s = near_score - best_score
-        return near if saved_s <= OTHER_ZONE_SHARE * self.latency_s else best
+            return best_local if local_slot == best_slot else best
+        gain_s = local_score - best_score
+        return best_local if gain_s <= MIN_ZONE_GAIN * self.latency_s else best
 
     def _eligible(
         self, avoid: list[str], trial: bool, now: float
     ) -> list[Endpoint]:
-        """List who may get a call, silent ones only where all are."""
-        open_ones: list[Endpoint] = []
-        silent: list[Endpoint] = []
-        floor = self._below_floor()
+        """List candidates for a call; unreachable ones only if all are."""
+        up: list[Endpoint] = []
+        down: list[Endpoint] = []
+        ignore_ejection = self._too_many_ejected()
         for endpoint in self._candidates():
             if not self._has_room(endpoint, now):
                 continue
             if avoid and endpoint.address in avoid:
                 continue
-            if not floor and not self._open(endpoint, trial, now):
+            if not ignore_ejection and not self._is_allowed(
+                endpoint, trial, now
+            ):
                 continue
-            (silent if endpoint.is_unreachable(now) else open_ones).append(
-                endpoint
-            )
-        return open_ones or silent
+            (down if endpoint.is_unreachable(now) else up).append(endpoint)
+        return up or down
 
     def slot_kind(self, endpoint: Endpoint, now: float) -> int:
-        """Tell what a call sent now is known to find at an endpoint."""
-        if not self._stretches:
+        """Return the kind of slot that a call sent now would get."""
+        if not self._has_stretch:
             return NO_SLOT
         return self.fullness.slot_kind(endpoint, now)
 
@@ -215,36 +223,36 @@
         return self.warm_up.allows(endpoint, now)
 
     def must_refuse(self, now: float) -> bool:
-        """Tell whether all endpoints are cold and this entry uses none."""
-        for endpoint in self._order:
+        """Return whether all endpoints are cold and left to others."""
+        for endpoint in self._endpoints:
             if not self.warm_up.excludes(endpoint, now):
                 return False
-        return bool(self._order)
+        return bool(self._endpoints)
 
     def score(self, endpoint: Endpoint, now: float) -> float:
-        """Estimate when a call sent now would be answered, in seconds."""
-        mean_s = self._latency.value
-        kept_s = REPORT_KEPT * mean_s
+        """Estimate the time to answer a call sent now, in seconds."""
+        mean_s = self._mean_latency.value
+        half_age_s = REPORT_HALF_AGE * mean_s
         load = endpoint.in_flight + endpoint.estimate_others(
-            self._others.value, kept_s, now
+            self._mean_others.value, half_age_s, now
         )
         slots = endpoint.slots
         over = load + 1.0 - slots
-        waiting = (over + sqrt(over * over + SPREAD)) / 2.0
+        waiting = (over + sqrt(over * over + LOAD_SPREAD)) / 2.0
         score = mean_s * (1.0 + waiting / slots)
         score *= (
-            endpoint.estimate_stretch(self._stretch.value, now)
-            / self._stretch.value
+            endpoint.estimate_stretch(self._mean_stretch.value, now)
+            / self._mean_stretch.value
         )
         if not endpoint.local:
-            score += OTHER_ZONE_S
+            score += ZONE_CROSSING_S
         if is_nearly_full(endpoint, load):
             score *= self.fullness.factor
         band_s = LATENCY_BAND * mean_s
         if endpoint.latency_s > band_s:
             score *= max(1.0, endpoint.estimate_latency(mean_s, now) / band_s)
         if endpoint.stalled or self._stalls:
-            score *= 1.0 + SUSPECT_FACTOR * self._suspicion(endpoint, now)
+            score *= 1.0 + STALL_FACTOR * self._suspicion(endpoint, now)
         if endpoint.is_cold(now):
             score *= COLD_SLOWDOWN
         elif endpoint.joined_at is not None:
@@ -255,10 +263,10 @@
         suspicion = 0.0
         if endpoint.stalled:
             age_s = now - endpoint.stalled_at
-            suspicion = endpoint.stalled * STALL_S / (STALL_S + age_s)
+            suspicion = endpoint.stalled * STALL_AGE_S / (STALL_AGE_S + age_s)
         zone = self._stalls.get(endpoint.zone)
-        if zone is not None and len(zone.addresses) >= ZONE_STALLS:
-            suspicion += STALL_S / (STALL_S + now - zone.at)
+        if zone is not None and len(zone.addresses) >= MIN_ZONE_STALLS:
+            suspicion += STALL_AGE_S / (STALL_AGE_S + now - zone.last_at)
         return suspicion
 
     def record_load(
@@ -268,43 +276,43 @@
         now: float,
         stretch: float | None = None,
     ) -> None:
-        """Take an endpoint's load report."""
+        """Record an endpoint's load report."""
         endpoint.record_load(load, now, stretch)
-        self._others.record(endpoint.reported_others)
-        self._tells_nothing = False
+        self._mean_others.record(endpoint.reported_others)
+        self._never_reports = False
         if stretch is not None:
-            self._stretch.record(stretch)
-            self._stretches = True
-            self._untold = 0
-        elif self._stretches is None:
-            self._stretches = False
-        if endpoint not in self._members:
-            # Its last answers still come in while it drains; as a recent
-            # one it would be a candidate again.
+            self._mean_stretch.record(stretch)
+            self._has_stretch = True
+            self._unreported = 0
+        elif self._has_stretch is None:
+            self._has_stretch = False
+        if endpoint not in self._endpoint_set:
+            # A draining endpoint still answers; among the recent ones it
+            # would become a candidate again.
             return
         self._recent.pop(endpoint, None)
         self._recent[endpoint] = None
-        if len(self._recent) > RECENT:
+        if len(self._recent) > MAX_RECENT:
             del self._recent[next(iter(self._recent))]
 
     def record_no_report(self) -> None:
-        """Take an answer that tells neither load nor pace.
+        """Record an answer that reports neither load nor stretch.
 
-        The endpoints of some services tell nothing. A question costs them
-        as much as a call does, and its answer is worth nothing.
+        The endpoints of some services never report. A load query costs them
+        as much as a call, and its answer is of no use.
         """
-        self._untold += 1
-        if self._stretches is None or self._untold >= MAX_UNREPORTED:
-            self._stretches = False
-            self._tells_nothing = True
+        self._unreported += 1
+        if self._has_stretch is None or self._unreported >= MAX_UNREPORTED:
+            self._has_stretch = False
+            self._never_reports = True
 
     def record_answer(
         self, endpoint: Endpoint, latency_s: float, now: float
     ) -> None:
-        """Take the time of an answer, in seconds."""
+        """Record an answer and its latency, in seconds."""
         if self._policy.latency:
             endpoint.record_latency(latency_s, now)
-        self._latency.record(latency_s)
+        self._mean_latency.record(latency_s)
         endpoint.record_success()
         self._stalls.pop(endpoint.zone, None)
         self._ejected.discard(endpoint)
@@ -312,11 +320,11 @@
     def record_stall(
         self, endpoint: Endpoint, elapsed_s: float, now: float
     ) -> None:
-        """Take word that an answer is late, before it is known to be lost.
+        """Record a late answer, before it is known to be lost.
 
-        Several endpoints of one availability zone stalled, with no answer
-        from any other there since, tell of the zone: were each endpoint
-        to be tried first, every entry would lose a call at each of them.
+        If several endpoints of an availability zone stall and none there
+        answers, the whole zone is suspect. Otherwise every entry would lose
+        a call at each of its endpoints.
         """
         if not self._policy.suspicion:
             return
@@ -326,47 +334,49 @@
             endpoint.record_late(elapsed_s, now)
         zone = self._stalls.setdefault(endpoint.zone, ZoneStalls())
         zone.addresses.add(endpoint.address)
-        zone.at = now
+        zone.last_at = now
 
     def record_failure(self, endpoint: Endpoint, now: float) -> None:
-        """Take word that an attempt failed at an endpoint."""
-        if endpoint not in self._members or not self._policy.ejection:
+        """Record a failed attempt; eject the endpoint after several."""
+        if endpoint not in self._endpoint_set or not self._policy.ejection:
             return
         if endpoint.record_failure(now):
             self._ejected.add(endpoint)
 
     def is_overloaded(self, endpoint: Endpoint, load: int) -> bool:
-        """Tell whether an endpoint has more work than does it good.
+        """Return whether an endpoint has more load than it should get.
 
-        Where endpoints tell how long work takes, a call waits here, from
-        where it can still go to any of them, and not at one of them; and
-        where they slow down when nearly full, it waits before that.
+        Where endpoints report their stretch, calls queue at the entry, from
+        where they can still go to any endpoint. Where endpoints slow down
+        when nearly full, calls queue before that point.
         """
-        if not self._stretches:
+        if not self._has_stretch:
             return load > endpoint.slots * (1.0 + QUEUE_SHARE)
         if self.fullness.is_significant:
             return is_nearly_full(endpoint, load)
         return load >= endpoint.slots
 
     def endpoints_to_query(
-        self, avoid: list[str], near: bool, now: float
+        self, avoid: list[str], local_only: bool, now: float
     ) -> list[Endpoint]:
-        """Return whom to ask before a call is sent; none where it is known.
+        """Return the endpoint to query before a send, if a query helps.
 
-        ``near`` leaves out other availability zones. Endpoints that never
-        told how long work takes are not asked: their health path may wait
+        ``local_only`` leaves out other availability zones. Endpoints that do
+        not report their stretch are not queried: their health path may wait
         for a slot as any call does.
         """
-        if self._stretches is False:
+        if self._has_stretch is False:
             return []
         found = []
-        floor = self._below_floor()
+        ignore_ejection = self._too_many_ejected()
         for endpoint in self._candidates():
             if not self._has_room(endpoint, now):
                 continue
-            if endpoint.address in avoid or (near and not endpoint.local):
+            if endpoint.address in avoid or (
+                local_only and not endpoint.local
+            ):
                 continue
-            if not floor and endpoint in self._ejected:
+            if not ignore_ejection and endpoint in self._ejected:
                 continue
             if endpoint.is_unreachable(now):
                 continue
@@ -377,9 +387,9 @@
         return found[:1]
 
     def next_ejected(self, now: float) -> Endpoint | None:
-        """Return the ejected endpoint that was not asked for longest."""
+        """Return the ejected endpoint that was probed longest ago."""
         best = None
-        for endpoint in self._order:
+        for endpoint in self._endpoints:
             if endpoint not in self._ejected or endpoint.answered_probe:
                 continue
             if now < endpoint.ejected_until:
@@ -389,49 +399,49 @@
         return best
 
     def record_probe_answer(self, endpoint: Endpoint) -> None:
-        """Take a probe's answer: a trial may follow."""
+        """Record a probe's answer; a trial may follow."""
         endpoint.answered_probe = True
 
-    def _open(self, endpoint: Endpoint, trial: bool, now: float) -> bool:
+    def _is_allowed(self, endpoint: Endpoint, trial: bool, now: float) -> bool:
         if endpoint not in self._ejected:
             return True
         if now < endpoint.ejected_until or not trial or endpoint.in_flight:
             return False
         if not self.probed or endpoint.answered_probe:
             return True
-        # A trial that fails costs a caller time, a probe does not. An
-        # endpoint that answers no probe, say for a wrong path in the
-        # declaration, still gets its trial in the end.
+        # A failed trial delays a caller, a failed probe does not. An endpoint
+        # that answers no probe, for example because the declared path is
+        # wrong, still gets a trial in the end.
         return now >= endpoint.ejected_until + PROBE_WAIT_S
 
-    def _below_floor(self) -> bool:
-        # When most of the pool fails, the cause is rarely the endpoints;
-        # sending all to the few left would take these down as well.
-        most = len(self._order) * EJECTED_MOST_SHARE
-        return len(self._ejected) > most
+    def _too_many_ejected(self) -> bool:
+        # If most of the pool fails, the cause is rarely the endpoints, and
+        # sending all calls to the remaining few would overload them.
+        max_ejected = len(self._endpoints) * MAX_EJECTED_SHARE
+        return len(self._ejected) > max_ejected
 
     def _candidates(self) -> list[Endpoint]:
-        order = self._order
-        if len(order) <= RECENT + SAMPLE:
+        order = self._endpoints
+        if len(order) <= MAX_RECENT + SAMPLE_SIZE:
             found = order
         else:
             found = list(self._recent)
-            for _ in range(SAMPLE):
+            for _ in range(SAMPLE_SIZE):
                 found.append(order[int(self._random.random() * len(order))])
         start = int(self._random.random() * len(found)) if found else 0
         return found[start:] + found[:start]
 
-    def _any(
+    def _first_allowed(
         self, avoid: list[str], trial: bool, now: float
     ) -> Endpoint | None:
-        if len(self._order) <= RECENT + SAMPLE:
+        if len(self._endpoints) <= MAX_RECENT + SAMPLE_SIZE:
             return None
-        floor = self._below_floor()
-        for endpoint in self._order:
+        ignore_ejection = self._too_many_ejected()
+        for endpoint in self._endpoints:
             if not self._has_room(endpoint, now):
                 continue
             if endpoint.address in avoid:
                 continue
-            if floor or self._open(endpoint, trial, now):
+            if ignore_ejection or self._is_allowed(endpoint, trial, now):
                 return endpoint
         return None
--- a/packages/core/nutmegchute_core/endpoints.py
+++ b/packages/core/nutmegchute_core/endpoints.py
@@ -1,4 +1,4 @@
-"""Hold what one entry knows of one endpoint, and how old that is."""
+"""Keep an entry's observations of one endpoint, with their age."""
 
 from collections import deque
 from math import exp
@@ -7,41 +7,47 @@
 from .members import Announcement
 from .members import DRAINING
 
-# An endpoint is judged by its last few answers; older ones fade.
+# Weight of a new answer in the moving average of the latency, and the age at
+# which that average counts half.
 LATENCY_WEIGHT = 0.3
-LATENCY_KEPT_S = 2.0
+LATENCY_HALF_AGE_S = 2.0
 
-# What neighbours do to a vm lasts a tenth of a second or two.
-STRETCH_KEPT_S = 0.1
+# Decay time of a reported stretch: interference by neighbouring vms
+# lasts 0.1 to 0.2 s.
+STRETCH_DECAY_S = 0.1
 
+# Successive failures that eject an endpoint, and the pause before its first
+# trial. Each failed trial doubles the pause.
 EJECT_AFTER = 3
 FIRST_EJECTION_S = 0.5
 MAX_EJECTION_S = 8.0
 
-# One that takes no connection is left alone for so long, doubled each time.
-MUTE_FIRST_S = 0.25
-MUTE_MOST_S = 2.0
+# Time without calls after a failed connection, doubled with each failure.
+FIRST_UNREACHABLE_S = 0.25
+MAX_UNREACHABLE_S = 2.0
 
+# A new endpoint counts as up to this many times slower, falling linearly to 1
+# over the warm-up time.
 WARM_UP_S = 2.0
 COLD_FACTOR = 3.0
-# Sends that are remembered to pace those to a cold endpoint.
-PACED_SENDS = 32
+# Send times kept to bound the call rate to a cold endpoint.
+MAX_SEND_TIMES = 32
 
 
 class Endpoint:
-    """Count own calls in flight and remember reports and failures."""
+    """Track own calls in flight, load reports, latency and failures."""
 
     __slots__ = (
         "_announcement",
         "_ejections",
         "_failures",
-        "_heard_at",
+        "_reported_at",
         "_latency_at",
-        "_muted_until",
-        "_mutes",
+        "_unreachable_until",
+        "_connect_failures",
         "_others",
         "_stretch",
-        "_sent_at",
+        "_send_times",
         "answered_probe",
         "cold_until",
         "ejected_until",
@@ -64,11 +70,11 @@
         self._latency_at = 0.0
         self._others = 0.0
         self._stretch = 1.0
-        self._heard_at: float | None = None
+        self._reported_at: float | None = None
         self._failures = 0
         self._ejections = 0
-        self._mutes = 0
-        self._muted_until = -inf
+        self._connect_failures = 0
+        self._unreachable_until = -inf
         self.ejected_until = 0.0
         self.in_flight = 0
         self.joined_at = joined_at
@@ -78,15 +84,15 @@
         self.stalled_at = 0.0
         self.probed_at = 0.0
         self.answered_probe = False
-        # Until when it is slow after its start, as it tells itself.
+        # End of the warm-up that the endpoint itself reports.
         self.cold_until = -inf
-        self._sent_at: deque[float] = deque(maxlen=PACED_SENDS)
-        # Whether its availability zone is evacuated.
+        self._send_times: deque[float] = deque(maxlen=MAX_SEND_TIMES)
+        # Whether the endpoint's availability zone is evacuated.
         self.evacuated = False
 
     @property
     def announcement(self) -> Announcement:
-        """Give the endpoint's newest announcement."""
+        """Return the endpoint's latest announcement."""
         return self._announcement
 
     @announcement.setter
@@ -96,70 +102,72 @@
 
     @property
     def address(self) -> str:
-        """Give the endpoint's address."""
+        """Return the endpoint's address."""
         return self._announcement.endpoint
 
     @property
     def zone(self) -> str:
-        """Name the endpoint's availability zone."""
+        """Return the name of the endpoint's availability zone."""
         return self._announcement.availability_zone
 
     @property
     def draining(self) -> bool:
-        """Tell whether the endpoint is leaving."""
+        """Return whether the endpoint is draining."""
         return self._announcement.state == DRAINING
 
     @property
     def accepts_calls(self) -> bool:
-        """Tell whether calls may be sent there at all."""
+        """Return whether it is neither draining nor evacuated."""
         return not (self.draining or self.evacuated)
 
     def load_basis(self, now: float) -> dict[str, float]:
-        """Give own calls, the reported load and stretch and their age."""
+        """Return own calls and the last report's load, stretch and age."""
         found = {"own": float(self.in_flight)}
-        if self._heard_at is not None:
+        if self._reported_at is not None:
             found["others"] = self._others
             found["stretch"] = self._stretch
-            found["age_ms"] = round((now - self._heard_at) * 1000, 1)
+            found["age_ms"] = round((now - self._reported_at) * 1000, 1)
         return found
 
-    def estimate_others(self, mean: float, keep_s: float, now: float) -> float:
-        """Estimate the calls that other entries have there.
+    def estimate_others(
+        self, mean: float, half_age_s: float, now: float
+    ) -> float:
+        """Estimate the calls in flight from other entries.
 
-        The report counts fully when new and gives way to the mean over
-        all endpoints as it ages; ``keep_s`` is the age of half weight.
+        The last report is weighted against the mean over all endpoints. Its
+        weight falls with its age, to one half at ``half_age_s``.
         """
-        if self._heard_at is None:
+        if self._reported_at is None:
             return mean
-        weight = keep_s / (keep_s + now - self._heard_at)
+        weight = half_age_s / (half_age_s + now - self._reported_at)
         return mean + (self._others - mean) * weight
 
     def estimate_latency(self, mean_s: float, now: float) -> float:
-        """Estimate an answer's time, in seconds; old news fade."""
+        """Estimate the latency in seconds; old answers count less."""
         age_s = now - self._latency_at
-        weight = LATENCY_KEPT_S / (LATENCY_KEPT_S + age_s)
+        weight = LATENCY_HALF_AGE_S / (LATENCY_HALF_AGE_S + age_s)
         return mean_s + (self.latency_s - mean_s) * weight
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the endpoint says that it is cold."""
+        """Return whether the endpoint reports that it is still cold."""
         return now < self.cold_until
 
     def count_send(self, now: float) -> None:
-        """Count a call that is sent there."""
+        """Count a call sent to the endpoint."""
         self.in_flight += 1
-        self._sent_at.append(now)
+        self._send_times.append(now)
 
     def sent_within(self, span_s: float, now: float) -> int:
-        """Count the calls sent lately or still under way."""
+        """Count the calls sent in the last ``span_s`` seconds or in flight."""
         sent = 0
-        for at in reversed(self._sent_at):
+        for at in reversed(self._send_times):
             if now - at > span_s:
                 break
             sent += 1
         return max(sent, self.in_flight)
 
     def warm_up_factor(self, now: float) -> float:
-        """Give by how much a newcomer is held to be slower."""
+        """Return the assumed slowdown since the endpoint joined."""
         if self.joined_at is None:
             return 1.0
         age_s = now - self.joined_at
@@ -170,47 +178,48 @@
 
     @property
     def stretch(self) -> float:
-        """Give how much longer than usual work took at the last report."""
+        """Return the reported slowdown: work time over usual work time."""
         return self._stretch
 
     def report_age_s(self, now: float) -> float | None:
-        """Give the age of the last report, in seconds, if there is one."""
-        if self._heard_at is None:
+        """Return the age of the last load report in seconds, if any."""
+        if self._reported_at is None:
             return None
-        return now - self._heard_at
+        return now - self._reported_at
 
     def estimate_stretch(self, mean: float, now: float) -> float:
-        """Estimate how much longer than usual work takes that begins now.
+        """Estimate the stretch of work that starts now.
 
-        A report gives way to the mean over all endpoints as it ages.
+        The last report is weighted against the mean over all endpoints, by
+        its age.
         """
-        if self._heard_at is None:
+        if self._reported_at is None:
             return mean
-        weight = exp((self._heard_at - now) / STRETCH_KEPT_S)
+        weight = exp((self._reported_at - now) / STRETCH_DECAY_S)
         return mean + (self._stretch - mean) * weight
 
     @property
     def reported_others(self) -> float:
-        """Give the calls of other entries in the last report."""
+        """Return the load from other entries, by the last report."""
         return self._others
 
     @property
     def spare_slots(self) -> float:
-        """Give the slots that nobody uses, by the last report."""
+        """Return the unused slots, by the last report."""
         return self.slots - self.in_flight - self._others
 
     def record_load(
         self, load: int, now: float, stretch: float | None = None
     ) -> None:
-        """Take a load report."""
+        """Record a load report."""
         self._stretch = 1.0 if stretch is None else stretch
-        self._mutes = 0
-        self._muted_until = -inf
+        self._connect_failures = 0
+        self._unreachable_until = -inf
         self._others = float(max(0, load - self.in_flight))
-        self._heard_at = now
+        self._reported_at = now
 
     def record_latency(self, latency_s: float, now: float) -> None:
-        """Take the time an answer took, in seconds."""
+        """Record the latency of an answer, in seconds."""
         self._latency_at = now
         if self.latency_s == 0.0:
             self.latency_s = latency_s
@@ -218,40 +227,40 @@
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
     def record_late(self, elapsed_s: float, now: float) -> None:
-        """Take word of an answer that is still out after so long."""
+        """Record an answer that is still missing after ``elapsed_s``."""
         if elapsed_s > self.latency_s:
             self.record_latency(elapsed_s, now)
 
     def mark_unreachable(self, now: float) -> None:
-        """Take word that the endpoint does not even take a connection.
+        """Record that no connection could be opened.
 
-        A dark endpoint stays announced for seconds. Asked or tried by every
-        call meanwhile, it would cost each a connection's timeout.
+        An unreachable endpoint stays announced for seconds. Until then each
+        query or call sent there would wait for a connection timeout.
         """
-        pause_s = MUTE_FIRST_S * 2**self._mutes
-        self._muted_until = now + min(MUTE_MOST_S, pause_s)
-        self._mutes = min(self._mutes + 1, 16)
+        pause_s = FIRST_UNREACHABLE_S * 2**self._connect_failures
+        self._unreachable_until = now + min(MAX_UNREACHABLE_S, pause_s)
+        self._connect_failures = min(self._connect_failures + 1, 16)
 
     def is_unreachable(self, now: float) -> bool:
-        """Tell whether the endpoint is to be left alone for now."""
-        return now < self._muted_until
+        """Return whether the last connections failed, until the next try."""
+        return now < self._unreachable_until
 
     def record_success(self) -> None:
-        """Forget failures; the endpoint answers."""
+        """Reset all failure counts; the endpoint answered."""
         self._failures = 0
         self._ejections = 0
-        self._mutes = 0
-        self._muted_until = -inf
+        self._connect_failures = 0
+        self._unreachable_until = -inf
         self.ejected_until = 0.0
         self.stalled = 0
 
     def record_failure(self, now: float) -> bool:
-        """Count a failure; return whether it ejects the endpoint."""
+        """Record a failure; return whether it ejects the endpoint."""
         self._failures += 1
         self.answered_probe = False
         if self._failures < EJECT_AFTER and not self._ejections:
             return False
-        # A trial that fails ejects again at once, for twice as long.
+        # A failed trial ejects again at once, for twice as long.
         pause_s = FIRST_EJECTION_S * 2**self._ejections
         self.ejected_until = now + min(MAX_EJECTION_S, pause_s)
         self._ejections = min(self._ejections + 1, 16)
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -48,7 +48,7 @@
 
     @property
     def index(self) -> int:
-        """Give the log index of the cases known."""
+        """Return the log index of the cases known."""
         return self._suspects.index
 
     def drain_reports(self) -> list[Report]:
@@ -56,13 +56,13 @@
         return self._suspects.drain()
 
     def check(self, call: Call, now: float) -> Ruling:
-        """Tell whether a call may simply go; WAIT: only on trial."""
+        """Return whether a call may simply go; WAIT: only on trial."""
         if call.trial_token or not self._suspects.any:
             return Ruling(FREE)
         return self._suspects.check(call.key, now)
 
     def holds(self, call: Call) -> bool:
-        """Tell whether a call waits for a trial."""
+        """Return whether a call waits for a trial."""
         return self._trials.holds(call)
 
     def hold(self, call: Call, now: float) -> bool:
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -108,7 +108,7 @@
 
 
 class QuarantineReply(msgspec.Struct, frozen=True):
-    """Give the rulings in order, or only the leader's gRPC address."""
+    """Return the rulings in order, or only the leader's gRPC address."""
 
     leader: str | None
     rulings: list[Ruling] | None
@@ -141,7 +141,7 @@
 
 
 class Lifted(msgspec.Struct, frozen=True):
-    """Tell whether there was a case to forget."""
+    """Return whether there was a case to forget."""
 
     found: bool
 
@@ -242,7 +242,7 @@
 
     @property
     def index(self) -> int:
-        """Give the log index of the last change that entries must hear."""
+        """Return the log index of the last change that entries must hear."""
         return self._index
 
     @property
@@ -289,7 +289,7 @@
         return [self._evidence(case) for case in self._cases.values()]
 
     def snapshot(self) -> QuarantineState:
-        """Give all cases; encode them before the next batch."""
+        """Return all cases; encode them before the next batch."""
         return QuarantineState(
             self._time_s, self._index, list(self._cases.values())
         )
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -50,22 +50,22 @@
 
     @property
     def host(self) -> str:
-        """Give the host, in small letters."""
+        """Return the host, in small letters."""
         return self._host
 
     @property
     def path_prefix(self) -> str:
-        """Give the beginning of the paths it covers."""
+        """Return the beginning of the paths it covers."""
         return self._path_prefix
 
     @property
     def buffer_bytes(self) -> int:
-        """Give how much of a body is kept, to be sent once more."""
+        """Return how much of a body is kept, to be sent once more."""
         return self._buffer_bytes
 
     @property
     def rule(self) -> Rule:
-        """Give the rule its requests fall under."""
+        """Return the rule its requests fall under."""
         return self._rule
 
     def choose(self) -> str:
--- a/packages/core/nutmegchute_core/rules.py
+++ b/packages/core/nutmegchute_core/rules.py
@@ -48,7 +48,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether running the request twice does no harm."""
+        """Return whether running the request twice does no harm."""
         return self._idempotent
 
     @property
@@ -58,26 +58,26 @@
 
     @property
     def deadline_s(self) -> float:
-        """Give the time in which an answer is still of use, in seconds."""
+        """Return the time in which an answer is still of use, in seconds."""
         return self._deadline_s
 
     @property
     def objective_s(self) -> float:
-        """Give the time in which an answer is of full use, in seconds."""
+        """Return the time in which an answer is of full use, in seconds."""
         return self._objective_s
 
     @property
     def attempts(self) -> int:
-        """Give the most sends for one call, the first included."""
+        """Return the most sends for one call, the first included."""
         return self._attempts
 
     @property
     def hedge(self) -> bool:
-        """Tell whether a second send may race the first."""
+        """Return whether a second send may race the first."""
         return self._hedge and self._idempotent
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether the rule covers the method and path."""
+        """Return whether the rule covers the method and path."""
         if self._method is not None and self._method != method:
             return False
         return path.startswith(self._path_prefix)
@@ -124,47 +124,47 @@
 
     @property
     def slots(self) -> int:
-        """Give the calls one endpoint runs at once."""
+        """Return the calls one endpoint runs at once."""
         return self._slots
 
     @property
     def queue(self) -> int:
-        """Give the most calls an entry keeps waiting."""
+        """Return the most calls an entry keeps waiting."""
         return self._queue
 
     @property
     def probes_per_s(self) -> float:
-        """Give the service's whole probe budget, in probes a second."""
+        """Return the service's whole probe budget, in probes a second."""
         return self._probes_per_s
 
     @property
     def probe_path(self) -> str:
-        """Give the path at which an endpoint reports its load."""
+        """Return the path at which an endpoint reports its load."""
         return self._probe_path
 
     @property
     def most_entries(self) -> int:
-        """Give the most entries that ever share the probe budget."""
+        """Return the most entries that ever share the probe budget."""
         return self._most_entries
 
     @property
     def key_sha256(self) -> str | None:
-        """Give the digest of the key that announcements must show."""
+        """Return the digest of the key that announcements must show."""
         return self._key_sha256
 
     @property
     def connections(self) -> int | None:
-        """Give the most connections an endpoint takes from all entries."""
+        """Return the most connections an endpoint takes from all entries."""
         return self._connections
 
     @property
     def warm_up_per_s(self) -> float | None:
-        """Give the calls a second that a cold endpoint bears, if bounded."""
+        """Return the calls a second that a cold endpoint bears, if bounded."""
         return self._warm_up_per_s
 
     @property
     def warm_up_s(self) -> float:
-        """Give how long an endpoint is cold after its start, in seconds."""
+        """Return how long an endpoint is cold after its start, in seconds."""
         return self._warm_up_s
 
     @property
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -75,12 +75,12 @@
 
     @property
     def index(self) -> int:
-        """Give the log index of what control told last."""
+        """Return the log index of what control told last."""
         return self._index
 
     @property
     def any(self) -> bool:
-        """Tell whether there is any request that is not simply sent."""
+        """Return whether there is any request that is not simply sent."""
         return bool(self._told or self._own)
 
     def drain(self) -> list[Report]:
@@ -113,7 +113,7 @@
         return True
 
     def check(self, key: Key, now: float) -> Ruling:
-        """Tell whether a request may be sent; WAIT: only on trial."""
+        """Return whether a request may be sent; WAIT: only on trial."""
         told = self._told.get(key)
         if told is not None and told.state == QUARANTINED:
             if now < told.until:
--- a/packages/core/nutmegchute_core/trials.py
+++ b/packages/core/nutmegchute_core/trials.py
@@ -27,7 +27,7 @@
         return list(self._held)
 
     def holds(self, call: Call) -> bool:
-        """Tell whether a call waits."""
+        """Return whether a call waits."""
         return call.call_id in self._held.get(call.key, ())
 
     def hold(self, call: Call) -> bool:
--- a/packages/core/nutmegchute_core/warmups.py
+++ b/packages/core/nutmegchute_core/warmups.py
@@ -37,7 +37,7 @@
 
     @property
     def digest(self) -> int:
-        """Give the same number for the same entries."""
+        """Return the same number for the same entries."""
         return xxhash.xxh32_intdigest(_ENCODER.encode(self.by_zone))
 
 
@@ -67,11 +67,11 @@
 
     @property
     def group(self) -> EntryGroup:
-        """Give the list."""
+        """Return the list."""
         return self._group
 
     def share(self, own: int, endpoint: Endpoint, most: int) -> int:
-        """Give how many calls a second an entry may send to an endpoint."""
+        """Return how many calls a second an entry may send to an endpoint."""
         wanted = max(1, int(most * MEMBERS_SHARE))
         members = self._members_of(endpoint, wanted)
         if own not in members:
@@ -125,7 +125,7 @@
 
     @property
     def digest(self) -> int:
-        """Give the digest of the newest list of entries."""
+        """Return the digest of the newest list of entries."""
         return self._views[-1].group.digest
 
     @property
@@ -139,7 +139,7 @@
         self._slack = slack
 
     def most(self, per_s: float) -> int:
-        """Give the calls that a cold endpoint bears in any second."""
+        """Return the calls that a cold endpoint bears in any second."""
         return max(1, int(per_s * self._overage + self._slack))
 
     def update_group(self, group: EntryGroup, now: float) -> None:
@@ -151,7 +151,7 @@
         self._views.append(View(group))
 
     def share(self, endpoint: Endpoint, per_s: float, now: float) -> int:
-        """Give how many calls a second this entry may send to an endpoint.
+        """Return how many calls a second this entry may send to an endpoint.
 
         Those that another entry may still go by count as well.
         """
@@ -185,18 +185,18 @@
 
     @property
     def applies(self) -> bool:
-        """Tell whether the service has a bound."""
+        """Return whether the service has a bound."""
         return self._per_s is not None
 
     def allows(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether a call may go to an endpoint now."""
+        """Return whether a call may go to an endpoint now."""
         if self._per_s is None or not endpoint.is_cold(now):
             return True
         share = self._warm_ups.share(endpoint, self._per_s, now)
         return endpoint.sent_within(PACE_S, now) < share
 
     def excludes(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether this entry may not use an endpoint while it is cold."""
+        """Return whether a cold endpoint is left to other entries."""
         if self._per_s is None or not endpoint.is_cold(now):
             return False
         return self._warm_ups.share(endpoint, self._per_s, now) == 0
--- a/tests/test_choosers.py
+++ b/tests/test_choosers.py
@@ -1,4 +1,4 @@
-"""Test the choice of endpoint on virtual time."""
+"""Test the choice of an endpoint in virtual time."""
 
 from collections import Counter
 from random import Random
@@ -17,7 +17,7 @@
 def build(
     count: int, probed: bool = False, zone: str = "surco"
 ) -> tuple[Chooser, list[Endpoint]]:
-    """Build a chooser whose endpoints have all answered alike."""
+    """Build a chooser whose endpoints all have the same latency and load."""
     chooser = Chooser(Random(5), Policy(), probed)
     endpoints = [
         Endpoint(
@@ -42,12 +42,12 @@
     return found
 
 
-def test_failing_fast_is_no_magnet() -> None:
-    """An endpoint that fails at once looks idle, and gets nothing.
+def test_fast_failures_do_not_attract_calls() -> None:
+    """Guard against an endpoint that fails at once and looks idle.
 
-    Its answers come in half a millisecond and report no load; chosen by
-    load or latency it would draw every call. After a few failures it is
-    out, then each further trial that fails doubles the pause.
+    It answers in half a millisecond and reports no load, so by load or
+    latency alone it would attract every call. It is ejected after a few
+    failures, and each failed trial doubles the pause.
     """
     chooser, endpoints = build(6)
     bad = endpoints[0]
@@ -62,8 +62,8 @@
     assert bad.address not in spread(chooser, later + FIRST_EJECTION_S * 1.5)
 
 
-def test_trial_waits_for_a_probe_where_there_is_a_budget() -> None:
-    """No caller's request finds out what a probe could."""
+def test_trial_waits_for_a_probe_if_probing_is_on() -> None:
+    """Guard against a trial with a caller's request before a probe."""
     chooser, endpoints = build(6, probed=True)
     bad = endpoints[0]
     for _ in range(EJECT_AFTER):
@@ -77,9 +77,9 @@
 
 
 def test_ejection_stops_at_half_the_pool() -> None:
-    """When nearly all fail, all stay in use.
+    """Guard against ejecting nearly all endpoints.
 
-    A bad release of a caller makes every endpoint answer 500. Ejecting
+    If a faulty release of a caller makes every endpoint answer 500, ejecting
     them one by one would send all calls to the last one.
     """
     chooser, endpoints = build(6)
@@ -91,8 +91,8 @@
     assert len(spread(chooser, 0.2)) == 4
 
 
-def test_fresh_reports_count_and_old_ones_fade() -> None:
-    """A busy endpoint is avoided now, and not an hour later."""
+def test_reports_lose_weight_with_age() -> None:
+    """Avoid a busy endpoint after its report, but not an hour later."""
     chooser, endpoints = build(4)
     busy = endpoints[0]
     for endpoint in endpoints:
@@ -104,12 +104,12 @@
     assert busy.address not in spread(chooser, 1.0)
 
 
-def test_two_stalls_tell_of_a_zone() -> None:
-    """A lost zone costs an entry two calls, not one at each endpoint.
+def test_two_stalls_make_a_zone_suspect() -> None:
+    """Guard against losing one call at each endpoint of a lost zone.
 
-    Nothing there answers and no connection is refused, so each endpoint
-    alone looks idle. Two late answers from one zone and none in time put
-    all of it behind the others, until one answers again.
+    No endpoint there answers or refuses a connection, so each one looks
+    idle. After two late answers and none in time, all endpoints of the zone
+    rank behind the others until one answers.
     """
     chooser, endpoints = build(6)
     far = [
@@ -131,8 +131,8 @@
     assert far[3].address in spread(chooser, 1.1)
 
 
-def test_a_newcomer_warms_up() -> None:
-    """A cold process that reports no load is not flooded by 16 entries."""
+def test_new_endpoint_warms_up() -> None:
+    """Guard against 16 entries that all flood a new, idle endpoint."""
     chooser, endpoints = build(3)
     cold = Endpoint(announcement("cold:1"), True, 10.0)
     chooser.update([*endpoints, cold])
@@ -140,8 +140,8 @@
     assert "cold:1" in spread(chooser, 10.1 + WARM_UP_S)
 
 
-def test_own_zone_goes_first_and_yields_under_load() -> None:
-    """Calls stay in their zone until its endpoints are busier."""
+def test_local_zone_is_preferred_until_it_is_busier() -> None:
+    """Send calls to other zones only when the local endpoints are busier."""
     chooser, endpoints = build(4)
     for endpoint in endpoints[2:]:
         endpoint.local = False
@@ -154,8 +154,8 @@
     assert not set(spread(chooser, 1.0)) & near
 
 
-def test_large_pool_forgets_who_left() -> None:
-    """One heard of lately is a candidate; not once it drains."""
+def test_large_pool_drops_draining_endpoints() -> None:
+    """Guard against a draining endpoint that still reports its load."""
     chooser, endpoints = build(100)
     leaving = endpoints[-1]
     chooser.update(endpoints[:-1])
