--- a/packages/core/nutmegchute_core/budgets.py
+++ b/packages/core/nutmegchute_core/budgets.py
@@ -1,30 +1,31 @@
-"""Bound what may be spent: extra sends by calls, probes by time."""
+"""Limit extra sends (retries and hedges) by calls and probes by time."""
 
 EXTRA_SHARE = 0.08
 EXTRA_BURST = 10.0
 EXTRA_START = 3.0
 HEDGE_RESERVE = 2.0
-# Share of what may be saved up that the retries of first tries leave. With
-# every endpoint shedding 45 in 100 calls, worst two seconds (make
-# bench-placing, five seeds): 0.93 of the calls in time, 0.90 without; served
-# 0.986 and 0.972. At 0.8 half of the endpoints dark lose 0.04.
+# Share of the burst that retries of first tries leave to callers that come
+# back. With every endpoint shedding 45 of 100 calls, 0.93 of the calls meet
+# their objective in the worst two seconds (0.90 without the reserve) and 0.986
+# are served (0.972). A share of 0.8 loses 0.04 with half of the endpoints
+# unreachable.
 FIRST_TRY_RESERVE = 0.5
 
-# Of the extra sends that a service allows beside the share, this much is
-# divided among the entries; the rest covers entries that have just started.
+# Part of a service's fixed extra sends that is divided among the entries; the
+# rest covers entries that have just started.
 BURST_SHARE = 0.8
-# An entry that could not save up one extra send would never make any.
+# Below a burst of one, an entry could never make an extra send.
 MIN_BURST = 1.0
 
-# Float sums of gaps must not let one probe more into a window.
+# Keeps rounding errors in sums of gaps from allowing an additional probe.
 GAP_TOLERANCE = 1e-6
 
 
 class ExtraBudget:
-    """Bound retries and hedges to a share of recent calls.
+    """Limit retries and hedges to a share of recent calls.
 
-    Hedges leave a reserve: a retry rescues a call that has failed, a
-    hedge only one that may be late.
+    Hedges leave a reserve to retries: a retry saves a call that has
+    failed, a hedge only one that may be late.
     """
 
     __slots__ = ("_burst", "_share", "_tokens")
@@ -36,33 +37,33 @@
 
     @property
     def tokens(self) -> float:
-        """Give the extra sends allowed now."""
+        """Return the number of extra sends available now."""
         return self._tokens
 
     def limit(self, share: float, burst: float) -> None:
-        """Take what a call earns and the most that may be saved up."""
+        """Set the tokens earned per call and the maximum saved up."""
         self._share = share
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def earn(self) -> None:
-        """Add the share that one arriving call earns."""
+        """Add the tokens that one arriving call earns."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def spend_retry(self, first_try: bool = False) -> bool:
-        """Take one retry, if there is one.
+        """Spend one retry, if available.
 
-        The retry of a ``first_try`` leaves a reserve: its caller can come
-        back, one that has come back already perhaps not.
+        The retry of a ``first_try`` leaves a reserve: its caller can still
+        retry, while one that has retried already may not do so again.
         """
         if not first_try:
             return self._spend(0.0)
-        # Where little can be saved up, a full budget still allows one.
+        # With a small burst, a full budget still allows one retry.
         share = self._burst * FIRST_TRY_RESERVE
         return self._spend(min(share, self._burst - 1.0))
 
     def spend_hedge(self) -> bool:
-        """Take one hedge, if the reserve for retries stays whole."""
+        """Spend one hedge, if available beyond the reserve for retries."""
         return self._spend(HEDGE_RESERVE)
 
     def _spend(self, reserve: float) -> bool:
@@ -75,10 +76,10 @@
 class ExtraLimit:
     """Divide a service's extra sends among the entries.
 
-    ``ratio`` of the calls and ``fixed`` sends are allowed in any window of
-    ``window_s`` over all entries together. What an entry earns by its own
-    calls needs no division. What it saves up does: all entries may spend
-    it in the same window. ``entries`` must never be too low.
+    In any window of ``window_s``, all entries together may send ``ratio``
+    of the calls and ``fixed`` more. The tokens that an entry earns by its
+    own calls need no division. The burst does, as all entries may spend
+    theirs in the same window; so ``entries`` must never be too low.
     """
 
     __slots__ = ("_fixed", "_ratio")
@@ -89,21 +90,21 @@
 
     @property
     def share(self) -> float:
-        """Give what one arriving call earns."""
+        """Return the tokens that one arriving call earns."""
         return self._ratio
 
     def burst(self, entries: int) -> float:
-        """Give the most that one of so many entries may save up."""
+        """Return the maximum that each of ``entries`` may save up."""
         return max(MIN_BURST, BURST_SHARE * self._fixed / max(1, entries))
 
 
 class ProbeBudget:
-    """Space one entry's probes so that the service's budget holds.
+    """Space one entry's probes to stay within the service's budget.
 
-    The share is the budget over the most entries configured, never over
-    the entries seen: two entries that see one another differently would
-    otherwise spend more than the whole. A token bucket lets its burst
-    come on top of the rate within a second; a least gap does not.
+    The share is the budget over the maximum number of entries configured,
+    not over those seen: entries with different views of each other could
+    together exceed the budget. A token bucket would allow its burst on top
+    of the rate within one second; a minimum gap does not.
     """
 
     __slots__ = ("_gap_s", "_next_at")
@@ -111,30 +112,30 @@
     def __init__(self, probes_per_s: float, most_entries: int) -> None:
         share = probes_per_s / most_entries
         if share >= 1.0:
-            # Whole probes, so that any second holds at most the share.
+            # Rounded down, so that no second exceeds the share.
             share = float(int(share))
         self._gap_s = (1.0 + GAP_TOLERANCE) / share if share > 0 else None
         self._next_at = 0.0
 
     @property
     def next_at(self) -> float | None:
-        """Give when the next probe may go, in seconds; None is never."""
+        """Return when the next probe may be sent, in seconds, if ever."""
         return None if self._gap_s is None else self._next_at
 
     def spend(self, now: float) -> bool:
-        """Take one probe, if its time has come."""
+        """Spend one probe, if one is due."""
         if self._gap_s is None or now < self._next_at:
             return False
         self._next_at = now + self._gap_s
         return True
 
     def postpone(self, now: float) -> None:
-        """Look again after a gap: there is nothing to ask now."""
+        """Delay the next probe by one gap, as none is needed now."""
         if self._gap_s is not None:
             self._next_at = now + self._gap_s
 
     def continue_from(self, earlier: "ProbeBudget") -> None:
-        """Go on from the budget in force before, so none is spent twice."""
+        """Continue from the previous budget, so that it is not refilled."""
         if self._gap_s is None:
             return
         self._next_at = max(self._next_at, earlier._next_at)
--- a/packages/core/nutmegchute_core/limits.py
+++ b/packages/core/nutmegchute_core/limits.py
@@ -1,6 +1,6 @@
-"""Limit one entry's calls in flight by what the endpoints report."""
+"""Limit one entry's calls in flight by the endpoints' load reports."""
 
-# Shares of what is one entry's if all entries get the same.
+# Window sizes as multiples of this entry's equal share of the slots.
 INITIAL_SHARE = 2.0
 MIN_SHARE = 0.5
 INCREASE = 1.0
@@ -8,12 +8,12 @@
 
 
 class Window:
-    """Grow by addition and shrink by multiplication on one bit a report.
+    """Adjust the window by additive increase, multiplicative decrease.
 
-    The bit says whether the endpoint that answered has more work than
-    does it good. Entries that share endpoints reach
-    equal shares by this rule without knowing one another ("Congestion
-    avoidance in computer networks", sections 5.1 and 5.2).
+    Each report carries one bit: whether the endpoint is congested. Entries
+    that share endpoints converge to equal shares by this rule without
+    coordination ("Congestion avoidance in computer networks", sections 5.1
+    and 5.2).
     """
 
     __slots__ = ("_min_size", "_shrunk_at", "_size")
@@ -25,14 +25,14 @@
 
     @property
     def size(self) -> float:
-        """Give the most calls in flight."""
+        """Return the maximum number of calls in flight."""
         return self._min_size if self._size is None else self._size
 
     def set_share(self, slots: float, endpoint_slots: int) -> None:
-        """Take the slots that would be this entry's equal share.
+        """Set this entry's equal share of all slots.
 
-        A new entry starts above its share, or with one endpoint's slots:
-        entries may be fewer than configured.
+        A new entry starts above its share, or with one endpoint's slots,
+        as there may be fewer entries than configured.
         """
         self._min_size = max(1.0, slots * MIN_SHARE)
         if self._size is None and endpoint_slots:
@@ -43,7 +43,7 @@
     def record(
         self, crowded: bool, in_flight: int, now: float, pause_s: float
     ) -> None:
-        """Take one report's bit; shrink at most once in ``pause_s``."""
+        """Record one report; shrink at most once per ``pause_s``."""
         if not crowded:
             if in_flight + 1 >= self.size / 2:
                 self._size = self.size + INCREASE / self.size
--- a/packages/core/nutmegchute_core/pauses.py
+++ b/packages/core/nutmegchute_core/pauses.py
@@ -1,19 +1,19 @@
-"""Notice that this process stood still, and wait for what it missed."""
+"""Detect that this process was paused, and hold calls after it."""
 
-# Longer than any turn of the loop or a busy vm's delay.
+# Longer than any turn of the event loop and any delay on a busy vm.
 PAUSE_S = 1.0
-# How long calls are held for a replica's answer, which takes a way there
-# and back; a replica that is gone must not hold them longer.
+# Covers one round trip to a replica. An unreachable replica must not hold
+# calls longer.
 HOLD_S = 0.6
 
 
 class PauseDetector:
-    """Hold calls after a pause until a replica in contact was heard.
+    """Hold calls after a pause until a replica in contact has answered.
 
-    A vm that was frozen wakes with its callers' requests before it and
-    with routes and endpoints as they were. An endpoint whose leaving was
-    acknowledged meanwhile, since this entry was out of touch, would get
-    calls again.
+    A vm that was frozen resumes with callers' requests waiting and with
+    outdated routes and endpoints. An endpoint whose drain was acknowledged
+    during the pause, while this entry was out of contact, would get calls
+    again.
     """
 
     __slots__ = ("_awaiting", "_seen_at", "_until")
@@ -24,19 +24,19 @@
         self._until = now
 
     def observe(self, now: float) -> float | None:
-        """Tell how long this process stood still, if it did."""
-        stood_s = now - self._seen_at
+        """Return how long this process was paused, in seconds, if it was."""
+        paused_s = now - self._seen_at
         self._seen_at = now
-        if stood_s <= PAUSE_S:
+        if paused_s <= PAUSE_S:
             return None
         self._awaiting = True
         self._until = now + HOLD_S
-        return stood_s
+        return paused_s
 
     def confirm_contact(self) -> None:
-        """Take word that a replica in contact has answered."""
+        """Record that a replica in contact has answered."""
         self._awaiting = False
 
     def is_holding(self, now: float) -> bool:
-        """Tell whether calls are to be held."""
+        """Return whether calls are to be held."""
         return self._awaiting and now < self._until
--- a/packages/core/nutmegchute_core/policies.py
+++ b/packages/core/nutmegchute_core/policies.py
@@ -1,11 +1,11 @@
-"""Say which mechanisms of the policy are on."""
+"""Define which mechanisms of the load balancing policy are enabled."""
 
 
 class Policy:
-    """Hold a switch per mechanism; all on, but for measurements.
+    """Hold one switch per mechanism; all are on except in benchmarks.
 
-    Each switch exists so that the benchmark can show what its mechanism
-    is worth; a mechanism whose row shows nothing does not stay.
+    The switches let a benchmark show the effect of each mechanism; one
+    without an effect is removed.
     """
 
     __slots__ = (
--- a/packages/core/nutmegchute_core/queues.py
+++ b/packages/core/nutmegchute_core/queues.py
@@ -1,22 +1,22 @@
-"""Keep calls waiting: urgent ones first, old ones in the end too."""
+"""Queue waiting calls by priority with aging."""
 
 import heapq
 from math import inf
 
 from .rules import PRIORITIES
 
-# A waiting call passes as one of higher priority that arrived this much
-# later, so background work yields for a while and then arrives.
+# Added to a call's arrival time for ordering: background work yields to calls
+# that arrive within this delay and goes before later ones.
 PRIORITY_DELAY_S = {"interactive": 0.0, "action": 0.02, "background": 1.0}
 
 
 class WaitQueue:
-    """Order waiting calls by arrival plus what their priority adds.
+    """Order waiting calls by arrival plus the delay of their priority.
 
-    Calls that can still be answered within their objective go before those
-    that cannot. When more comes than can be served, the oldest first would
-    make every call wait until it is late; so most are served in time, and
-    who is late already is served when nobody else waits.
+    Calls that can still meet their objective go before those that cannot.
+    Under overload, oldest first would make every call wait until it is
+    late; in this order most are served in time, and late calls are served
+    when no others wait.
     """
 
     __slots__ = ("_heap", "_late_at", "_late_heap", "_waiting")
@@ -33,9 +33,9 @@
     def count_ahead(
         self, priority: str, late_at: float = inf, now: float = -inf
     ) -> int:
-        """Count the calls that go before a new one, roughly.
+        """Return about how many queued calls go before a new one.
 
-        Those that are late already go before it only if it is late too.
+        Late calls go before it only if it is late too.
         """
         rank = PRIORITIES.index(priority)
         late = late_at < now
@@ -48,7 +48,7 @@
         return count
 
     def count_late(self, now: float) -> int:
-        """Count the calls that cannot be answered within their objective."""
+        """Return the number of calls that cannot meet their objective."""
         return sum(late_at < now for late_at in self._late_at.values())
 
     def push(
@@ -58,9 +58,9 @@
         arrived_at: float,
         late_at: float = inf,
     ) -> None:
-        """Let a call wait; a retry keeps the place of its arrival.
+        """Add a call; a retry is ordered by the call's arrival.
 
-        Sent after ``late_at`` it cannot be answered within its objective.
+        Sent after ``late_at``, the call misses its objective.
         """
         key = arrived_at + PRIORITY_DELAY_S[priority]
         heapq.heappush(self._heap, (key, call_id))
@@ -68,14 +68,14 @@
         self._late_at[call_id] = late_at
 
     def remove(self, call_id: int) -> bool:
-        """Take a call out; return whether it waited."""
+        """Remove a call; return whether it was queued."""
         if self._waiting.pop(call_id, None) is None:
             return False
         del self._late_at[call_id]
         return True
 
     def peek(self, now: float = -inf) -> int | None:
-        """Return the call that is next, if any; it stays."""
+        """Return the next call without removing it, if any."""
         while self._heap:
             key, call_id = self._heap[0]
             if call_id in self._waiting:
--- a/packages/core/nutmegchute_core/rule_latencies.py
+++ b/packages/core/nutmegchute_core/rule_latencies.py
@@ -1,4 +1,4 @@
-"""Hold what is usual for a rule's calls, and what a send met."""
+"""Estimate the latencies of a rule's calls and describe sent attempts."""
 
 from .endpoints import Endpoint
 from .inquiries import FRESH_S
@@ -6,36 +6,36 @@
 from .latencies import Quantile
 
 HEDGE_QUANTILE = 0.92
-# What is taken for usual and for slow at first, as shares of the objective.
+# Initial estimates as shares of the rule's objective.
 INITIAL_MEDIAN_SHARE = 0.4
 INITIAL_TAIL_SHARE = 0.6
 
 
 class RuleLatency:
-    """Follow how long calls of one rule take, and what callers allow.
+    """Estimate the median and tail latency of one rule's calls.
 
-    ``deadline_s`` is the longest deadline that a caller gave.
+    ``deadline_s`` is the longest deadline that a caller has sent.
     """
 
     __slots__ = ("deadline_s", "median", "tail")
 
     def __init__(self, objective_s: float) -> None:
-        # Until answers tell more: an entry sees few calls of a rule, and a
-        # guess that is too low would hedge each of the first ones.
+        # An entry sees few calls of a rule, and initial estimates that are
+        # too low would hedge each of the first ones.
         self.median = Quantile(0.5, objective_s * INITIAL_MEDIAN_SHARE)
         self.tail = Quantile(HEDGE_QUANTILE, objective_s * INITIAL_TAIL_SHARE)
         self.deadline_s = 0.0
 
     def record(self, latency_s: float) -> None:
-        """Take the time of an answer, in seconds."""
+        """Record a latency, in seconds."""
         self.median.record(latency_s)
         self.tail.record(latency_s)
 
 
 class SentAttempt:
-    """Hold where an attempt went and whether that was nearly full then.
+    """Hold an attempt's endpoint and whether it was nearly full at sending.
 
-    ``full`` is None where the endpoint's load was not known.
+    ``nearly_full`` is None if the endpoint's load was not known.
     """
 
     __slots__ = ("endpoint", "nearly_full")
--- a/packages/core/nutmegchute_core/timers.py
+++ b/packages/core/nutmegchute_core/timers.py
@@ -1,16 +1,16 @@
-"""Keep what falls due, one heap for all services."""
+"""Keep the timers of all calls in one heap."""
 
 import heapq
 
-REQUERY = "again"
-QUERY_TIMEOUT = "asked"
+REQUERY = "requery"
+QUERY_TIMEOUT = "query_timeout"
 EXPIRY = "expiry"
 HEDGE = "hedge"
-REQUEST_TRIAL = "seek"
+REQUEST_TRIAL = "request_trial"
 
 
 class Timers:
-    """Order timers by time; who takes one checks that it still holds."""
+    """Order timers by time; the caller checks that one still applies."""
 
     __slots__ = ("_count", "_heap")
 
@@ -20,11 +20,11 @@
 
     @property
     def next_at(self) -> float | None:
-        """Give when the next timer falls due, in seconds, if any."""
+        """Return when the next timer is due, in seconds, if any."""
         return self._heap[0][0] if self._heap else None
 
     def add(self, at: float, kind: str, call_id: int) -> None:
-        """Set a timer for a call."""
+        """Schedule a timer for a call."""
         self._count += 1
         heapq.heappush(self._heap, (at, self._count, kind, call_id))
 
