--- a/packages/core/nutmegchute_core/follow_protocol.py
+++ b/packages/core/nutmegchute_core/follow_protocol.py
@@ -1,4 +1,4 @@
-"""Know, on the leader, which configuration each entry has in force."""
+"""Define how entries follow the tree, and the lease on which they act."""
 
 from typing import Any
 
@@ -8,22 +8,24 @@
 from .patches import Step
 from .quarantines import QuarantineUpdate
 
-# How long an entry acts on a tree after it last asked a leader. It outlasts
-# one lost question (hold, time-out, retry) and leaves room for a failover
-# within the 12 s in which a change must be in force.
+# An entry's lease, from its last confirmed request. It outlasts one lost
+# request (hold, timeout, retry) and leaves time for a failover within the
+# 12 s in which a change must be in force.
 TREE_LEASE_S = 9.5
-# How long the leader holds a question when nothing is newer.
+# How long the leader holds a request while it has no changes to send.
 HOLD_S = 4.0
 HOLD_MARGIN_S = 0.5
-# The leader counts a little longer than the entry: clocks drift.
+# The leader waits longer than the lease, as clocks run at different rates.
 TREE_LEASE_WAIT_S = TREE_LEASE_S * 1.05
 
 
 class FollowRequest(msgspec.Struct, frozen=True):
-    """Ask for the tree when it is newer than what the entry applied.
+    """Request what changed after the log indexes that an entry has applied.
 
-    ``quarantine`` is the index of the cases that it knows, ``evacuations``
-    that of the evacuated availability zones.
+    ``index`` is that of the tree, ``quarantine`` that of the quarantine
+    cases, ``evacuations`` that of the evacuated availability zones.
+    ``leaving`` withdraws the entry. Without ``hold`` the leader replies even
+    if nothing changed.
     """
 
     entry: str
@@ -35,16 +37,16 @@
 
 
 class FollowReply(msgspec.Struct, frozen=True):
-    """Give what changed up to ``index``, or only name the leader.
-
-    ``documents`` holds the branches that changed since the index that was
-    asked for, None for a removed one; it is None where nothing did. In its
-    place ``steps`` may lead there, a fraction of the bytes where branches
-    hold thousands of items and a change one of them.
-    Only a ``current`` reply comes from a leader that a quorum confirmed
-    after the question arrived; no other may be acted on. ``quarantine``
-    lists the requests that crash endpoints, ``evacuations`` the evacuated
-    availability zones, each where that is news.
+    """Return the changes up to ``index``, or only name the leader.
+
+    ``documents`` holds the branches that changed after the requested index,
+    None for a removed branch; it is None if no branch changed. ``steps`` may
+    replace it: where branches hold thousands of items and a change touches
+    one, they take a fraction of the bytes.
+    Only a ``current`` reply may be acted on: it comes from a leader that a
+    quorum confirmed after the request arrived. ``quarantine`` lists the
+    requests that crash endpoints, ``evacuations`` the evacuated availability
+    zones; each is None if unchanged.
     """
 
     leader: str | None
@@ -59,113 +61,116 @@
 
 
 class Enroll(msgspec.Struct, frozen=True, tag=True):
-    """Remember, before its first tree, that an entry exists."""
+    """Register an entry before it gets its first tree."""
 
     entry: str
 
 
 class Withdraw(msgspec.Struct, frozen=True, tag=True):
-    """Forget an entry that left or has long been silent."""
+    """Remove an entry that left or has long been silent."""
 
     entry: str
 
 
 class EntryProgress:
-    """Record what each entry applied and when it last asked this leader.
+    """Track what each entry applied and when it last sent a request.
 
-    A leader starts one when it takes over. Entries that it has not heard
-    from may hold a lease that its predecessor gave, so each counts as
-    live for one lease from then on.
+    A new leader starts with an empty one. An entry that has sent it nothing
+    may hold a lease from its predecessor, so it counts as live for one lease
+    from the start of the term.
     """
 
-    __slots__ = ("_applied", "_began", "_heard")
+    __slots__ = ("_applied", "_started_at", "_requested_at")
 
     def __init__(self, now: float) -> None:
-        self._began = now
+        self._started_at = now
         self._applied: dict[str, int] = {}
-        self._heard: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     def record(self, request: FollowRequest, now: float) -> None:
-        """Take an entry's word about the index it has in force."""
+        """Record an entry's request and the index that it has in force."""
         known = self._applied.get(request.entry, 0)
         self._applied[request.entry] = max(known, request.index)
-        self._heard[request.entry] = now
+        self._requested_at[request.entry] = now
 
     def forget(self, entry: str) -> None:
-        """Drop an entry that has left."""
+        """Remove an entry that left."""
         self._applied.pop(entry, None)
-        self._heard.pop(entry, None)
+        self._requested_at.pop(entry, None)
 
     def in_force(self, index: int, enrolled: set[str], now: float) -> bool:
-        """Tell whether no live entry still acts on an older index."""
+        """Return whether every live entry has applied an index."""
         for entry in enrolled:
             if self._applied.get(entry, 0) >= index:
                 continue
-            if now - self._heard.get(entry, self._began) <= TREE_LEASE_WAIT_S:
+            if (
+                now - self._requested_at.get(entry, self._started_at)
+                <= TREE_LEASE_WAIT_S
+            ):
                 return False
         return True
 
     def silence_s(self, entry: str, now: float) -> float:
-        """Tell for how many seconds an entry has not asked."""
-        return now - self._heard.get(entry, self._began)
+        """Return the time since an entry's last request, in seconds."""
+        return now - self._requested_at.get(entry, self._started_at)
 
     def applied(self) -> dict[str, int]:
-        """Map each entry heard of to the index it has in force."""
+        """Return the index that each known entry has in force."""
         return dict(self._applied)
 
 
 class RelayReply(msgspec.Struct, frozen=True):
-    """Give what a leader answered to another entry's question.
+    """Return a leader's reply to a request relayed for another entry.
 
-    ``reply`` is None where the asked entry finds no leader either.
+    ``reply`` is None if the relaying entry has no leader either.
     """
 
     reply: FollowReply | None
 
 
 class TreeLease:
-    """Decide, on an entry, whether it may act on the tree it has.
+    """Decide on an entry whether it may act on its tree.
 
-    With a lease it may. Without one, somewhere a newer tree may be in
-    force: it stops, unless more than half of all entries are in reach and
-    find no leader either. Then control is lost for everybody, and all
-    entries stopping would turn its loss into an outage.
+    It may while it holds a lease. Without one, a newer tree may be in force
+    elsewhere, so it stops, unless more than half of all entries are
+    reachable and have no leader either. Then control is down for all, and
+    stopping every entry would turn that into an outage.
     """
 
-    __slots__ = ("_lease_until", "_others", "_reached")
+    __slots__ = ("_lease_until", "_other_entries", "_leaderless")
 
-    def __init__(self, others: int) -> None:
-        self._others = others
+    def __init__(self, other_entries: int) -> None:
+        self._other_entries = other_entries
         self._lease_until = 0.0
-        self._reached: dict[str, float] = {}
+        self._leaderless: dict[str, float] = {}
 
-    def renew(self, asked_at: float) -> None:
-        """Hold a lease, counted from before the question was sent."""
-        until = asked_at + TREE_LEASE_S
+    def renew(self, sent_at: float) -> None:
+        """Extend the lease, counted from when the request was sent."""
+        until = sent_at + TREE_LEASE_S
         self._lease_until = max(self._lease_until, until)
 
     def record_leaderless(self, entry: str, now: float) -> None:
-        """Remember that another entry answered and found no leader."""
-        self._reached[entry] = now
+        """Record that another entry answered that it has no leader."""
+        self._leaderless[entry] = now
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether a leader confirmed the tree lately."""
+        """Return whether a leader confirmed the tree within the lease."""
         return now < self._lease_until
 
     def may_hold(self, now: float) -> bool:
-        """Tell whether the lease outlasts a question that is held.
+        """Return whether the lease outlasts a request that is held.
 
-        After a lost question it does not: the answer that renews the
-        lease would be held until after its end.
+        After a lost request it may not: the reply that renews the lease
+        would be held until after it expired.
         """
         return now + HOLD_S + HOLD_MARGIN_S < self._lease_until
 
     def may_act(self, now: float) -> bool:
-        """Tell whether calls may be sent by the tree at hand."""
+        """Return whether calls may be routed by the current tree."""
         if self.has_lease(now):
             return True
-        together = 1
-        for reached_at in self._reached.values():
-            if now - reached_at <= TREE_LEASE_S:
-                together += 1
-        return 2 * together > self._others + 1
+        reachable = 1
+        for answered_at in self._leaderless.values():
+            if now - answered_at <= TREE_LEASE_S:
+                reachable += 1
+        return 2 * reachable > self._other_entries + 1
--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -1,4 +1,4 @@
-"""Answer, on the leader, the entries that follow the tree."""
+"""Hold the long polls of entries that follow the tree, on the leader."""
 
 import msgspec
 
@@ -12,47 +12,48 @@
 from .quarantines import QuarantineUpdate
 from .replicas import LEADER
 
-# An entry silent for so long is gone; it enrolls anew should it return.
-FORGET_S = 3600.0
+# Silence after which an entry is withdrawn; it enrolls again if it returns.
+WITHDRAW_AFTER_S = 3600.0
 
 
 class PendingPoll:
-    """Hold one entry's open question and what confirms its answer.
+    """Hold one entry's request until its reply is confirmed and due.
 
-    ``wanted`` is the round a quorum must answer; None while the entry's
-    enrolment is on its way, whose commit confirms as well.
+    ``read_round`` is the round that a quorum must acknowledge. It is None
+    for an entry that is being enrolled: the commit of its enrolment confirms
+    the leader as well.
     """
 
-    __slots__ = ("hold_until", "request", "wanted")
+    __slots__ = ("hold_until", "request", "read_round")
 
     def __init__(
-        self, request: FollowRequest, wanted: int | None, hold_until: float
+        self, request: FollowRequest, read_round: int | None, hold_until: float
     ) -> None:
         self.request = request
-        self.wanted = wanted
+        self.read_round = read_round
         self.hold_until = hold_until
 
 
 class LongPolls:
-    """Take questions by ticket; advance gives the answers that are due."""
+    """Hold requests by id until their replies are due."""
 
-    __slots__ = ("_progress", "_open", "_term")
+    __slots__ = ("_progress", "_polls", "_term")
 
     def __init__(self) -> None:
         self._progress = EntryProgress(0.0)
-        self._open: dict[int, PendingPoll] = {}
+        self._polls: dict[int, PendingPoll] = {}
         self._term: int | None = None
 
     @property
     def progress(self) -> EntryProgress:
-        """Give what this leader knows of the entries."""
+        """The progress of the entries, as known to this leader."""
         return self._progress
 
     def enqueue(
-        self, ticket: int, request: FollowRequest, node: Node, now: float
+        self, request_id: int, request: FollowRequest, node: Node, now: float
     ) -> FollowReply | None:
-        """Take a question; an answer at once says that none leads here."""
-        self._observe(node, now)
+        """Add a request; return a redirect unless it is held here."""
+        self._update_term(node, now)
         if self._term is None:
             return redirect(node)
         if request.leaving:
@@ -60,67 +61,68 @@
             self._progress.forget(request.entry)
             return redirect(node)
         self._progress.record(request, now)
-        wanted: int | None = None
+        read_round: int | None = None
         if request.entry in node.machine.entries:
-            wanted = node.replica.begin_read()
+            read_round = node.replica.begin_read()
         else:
-            # Enrolled before its first tree, it is known to every later
-            # leader, which then waits for it or for its lease to lapse.
+            # Enrolled before it gets its first tree, the entry is known to
+            # every later leader, which waits for it or for its lease to
+            # expire before it reports a change in force.
             node.propose(Enroll(request.entry))
         hold_until = now + HOLD_S if request.hold else now
-        self._open[ticket] = PendingPoll(request, wanted, hold_until)
+        self._polls[request_id] = PendingPoll(request, read_round, hold_until)
         return None
 
     def advance(self, node: Node, now: float) -> dict[int, FollowReply]:
-        """Return the answers that are due, by ticket."""
-        answers = self._observe(node, now)
+        """Return the replies that are due, by request id."""
+        replies = self._update_term(node, now)
         if not node.replica.is_ready:
-            return answers
-        for ticket, question in list(self._open.items()):
-            if not self._is_confirmed(question, node):
+            return replies
+        for request_id, poll in list(self._polls.items()):
+            if not self._is_confirmed(poll, node):
                 continue
-            newer = _is_news(node, question.request)
-            if not newer and now < question.hold_until:
+            has_changes = _has_changes(node, poll.request)
+            if not has_changes and now < poll.hold_until:
                 continue
-            del self._open[ticket]
-            answers[ticket] = _tell(node, question.request)
-        return answers
+            del self._polls[request_id]
+            replies[request_id] = _build_reply(node, poll.request)
+        return replies
 
     def in_force(self, index: int, node: Node, now: float) -> bool:
-        """Tell whether no live entry still acts on an older index."""
+        """Return whether every live entry has applied an index."""
         if not node.replica.is_ready or self._term != node.replica.term:
             return False
         return self._progress.in_force(index, node.machine.entries, now)
 
     def withdraw_silent(self, node: Node, now: float) -> None:
-        """Withdraw the entries that have long been silent."""
+        """Withdraw the entries silent for more than WITHDRAW_AFTER_S."""
         if not node.replica.is_ready or self._term != node.replica.term:
             return
         for entry in sorted(node.machine.entries):
-            if self._progress.silence_s(entry, now) > FORGET_S:
+            if self._progress.silence_s(entry, now) > WITHDRAW_AFTER_S:
                 node.propose(Withdraw(entry))
 
-    def _observe(self, node: Node, now: float) -> dict[int, FollowReply]:
+    def _update_term(self, node: Node, now: float) -> dict[int, FollowReply]:
         leads = node.replica.state == LEADER
         term = node.replica.term if leads else None
         if term == self._term:
             return {}
         self._term = term
         self._progress = EntryProgress(now)
-        answers = {ticket: redirect(node) for ticket in self._open}
-        self._open = {}
-        return answers
+        replies = {request_id: redirect(node) for request_id in self._polls}
+        self._polls = {}
+        return replies
 
-    def _is_confirmed(self, question: PendingPoll, node: Node) -> bool:
-        # A leader that was deposed without hearing of it would answer with
-        # an older tree, and a restarted entry would act on it.
-        if question.wanted is not None:
-            return node.replica.confirmed_round >= question.wanted
-        return question.request.entry in node.machine.entries
+    def _is_confirmed(self, poll: PendingPoll, node: Node) -> bool:
+        # A leader that does not know that it was deposed would reply with an
+        # older tree, and a restarted entry would act on it.
+        if poll.read_round is not None:
+            return node.replica.confirmed_round >= poll.read_round
+        return poll.request.entry in node.machine.entries
 
 
 def redirect(node: Node) -> FollowReply:
-    """Name the leader, as far as a replica that does not lead knows it."""
+    """Return a reply that names the leader, if a follower knows it."""
     leader = node.replica.membership.find(node.replica.leader)
     if leader is None or leader.identity == node.replica.identity:
         return FollowReply(None, None, False)
@@ -130,9 +132,9 @@
 def tree_changes_since(
     node: Node, known: int, by_steps: bool = False
 ) -> FollowReply | None:
-    """Give what changed in the tree since an index; None: nothing.
+    """Return the changes of the tree after an index, None if there are none.
 
-    ``by_steps`` gives the changes themselves where they are kept.
+    ``by_steps`` returns steps in place of whole branches where they are kept.
     """
     tree = node.machine.tree
     if tree.index <= known:
@@ -151,7 +153,7 @@
     )
 
 
-def _is_news(node: Node, request: FollowRequest) -> bool:
+def _has_changes(node: Node, request: FollowRequest) -> bool:
     machine = node.machine
     if machine.tree.index > request.index:
         return True
@@ -160,7 +162,7 @@
     return machine.quarantine.index > request.quarantine
 
 
-def _tell(node: Node, request: FollowRequest) -> FollowReply:
+def _build_reply(node: Node, request: FollowRequest) -> FollowReply:
     leader = node.replica.membership.find(node.replica.identity)
     name = leader.name if leader is not None else None
     reply = tree_changes_since(node, request.index)
@@ -176,6 +178,6 @@
 
 
 def quarantine_since(node: Node, known: int) -> QuarantineUpdate | None:
-    """List the cases, if they changed since a log index."""
+    """Return the quarantine cases if they changed after a log index."""
     quarantine = node.machine.quarantine
     return quarantine.since(known) if quarantine.index > known else None
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -1,4 +1,4 @@
-"""Hold the questions of entries that follow the tree."""
+"""Serve the long polls of entries that follow the tree."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 class FollowServer:
-    """Answer each question once it is due, or turn it away.
+    """Reply to each request when it is due, or redirect it.
 
-    ``node`` gives the replica once it is loaded; ``flush_soon`` lets what
-    a question has proposed go out.
+    ``node`` returns the replica, None until it is loaded; ``flush_soon``
+    schedules sending what a request has proposed.
     """
 
     __slots__ = (
@@ -23,8 +23,8 @@
         "_long_polls",
         "_loop",
         "_node",
-        "_open",
-        "_ticket",
+        "_futures",
+        "_last_id",
     )
 
     def __init__(
@@ -37,39 +37,39 @@
         self._node = node
         self._flush_soon = flush_soon
         self._long_polls = LongPolls()
-        self._open: dict[int, asyncio.Future[FollowReply]] = {}
-        self._ticket = 0
+        self._futures: dict[int, asyncio.Future[FollowReply]] = {}
+        self._last_id = 0
 
     @property
     def applied(self) -> dict[str, int]:
-        """Map each entry that asks here to the tree it has in force."""
+        """The index that each entry following this replica has in force."""
         return self._long_polls.progress.applied()
 
     async def ask(self, request: FollowRequest) -> FollowReply:
-        """Take a question and wait for its answer."""
+        """Return the reply to a request once it is due."""
         node = self._node()
         if node is None:
             return UNKNOWN_LEADER
-        self._ticket += 1
-        ticket = self._ticket
+        self._last_id += 1
+        request_id = self._last_id
         now = self._loop.time()
-        reply = self._long_polls.enqueue(ticket, request, node, now)
+        reply = self._long_polls.enqueue(request_id, request, node, now)
         self._flush_soon()
         if reply is not None:
             return reply
         future: asyncio.Future[FollowReply] = self._loop.create_future()
-        self._open[ticket] = future
+        self._futures[request_id] = future
         try:
             return await future
         finally:
-            self._open.pop(ticket, None)
+            self._futures.pop(request_id, None)
 
     def advance(self, node: Node) -> None:
-        """Give the answers that are due."""
-        self._answer(self._long_polls.advance(node, self._loop.time()))
+        """Send the replies that are due."""
+        self._send_replies(self._long_polls.advance(node, self._loop.time()))
 
     def in_force(self, index: int, node: Node) -> bool:
-        """Tell whether no live entry still acts on an older index."""
+        """Return whether every live entry has applied an index."""
         return self._long_polls.in_force(index, node, self._loop.time())
 
     def withdraw_silent(self, node: Node) -> None:
@@ -77,16 +77,16 @@
         self._long_polls.withdraw_silent(node, self._loop.time())
 
     def redirect_all(self) -> None:
-        """Answer every open question: ask another replica."""
-        self._answer(dict.fromkeys(self._open, UNKNOWN_LEADER))
+        """Reply to every open request that another replica may lead."""
+        self._send_replies(dict.fromkeys(self._futures, UNKNOWN_LEADER))
 
     def reset(self) -> None:
-        """Turn all away and forget what is known of entries."""
+        """Redirect all requests and discard the progress of the entries."""
         self.redirect_all()
         self._long_polls = LongPolls()
 
-    def _answer(self, answers: dict[int, FollowReply]) -> None:
-        for ticket, reply in answers.items():
-            future = self._open.get(ticket)
+    def _send_replies(self, replies: dict[int, FollowReply]) -> None:
+        for request_id, reply in replies.items():
+            future = self._futures.get(request_id)
             if future is not None and not future.done():
                 future.set_result(reply)
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -22,7 +22,7 @@
 from .settings import Settings
 from .trees import TreeCopy
 
-# The leader holds a question for HOLD_S at most.
+# Above HOLD_S, for which the leader may hold a request.
 TIMEOUT_S = HOLD_S + 0.8
 RELAY_TIMEOUT_S = HOLD_S + 1.0
 LEAVE_TIMEOUT_S = 0.5
@@ -32,19 +32,19 @@
 
 
 class Follower:
-    """Keep an entry at the newest tree, never at an older one."""
+    """Keep an entry's tree up to date; never apply an older one."""
 
     __slots__ = (
         "_entries",
-        "_lapsed",
+        "_reported_lapsed",
         "_links",
         "_on_tree",
-        "_relay",
+        "_relay_address",
         "_settings",
         "_lease",
-        "_target",
+        "_leader_address",
         "_tree",
-        "_turn",
+        "_replica_position",
         "on_evacuations",
         "on_quarantine",
         "_evacuations",
@@ -57,52 +57,52 @@
         links: Links,
         on_tree: Callable[[FollowReply], None],
     ) -> None:
-        own = settings.grpc_address
+        own_address = settings.grpc_address
         self._settings = settings
         self._links = links
         self._on_tree = on_tree
-        self._entries = [one for one in settings.entries if one != own]
+        self._entries = [one for one in settings.entries if one != own_address]
         self._lease = TreeLease(len(self._entries))
-        self._target: str | None = None
-        self._relay: str | None = None
-        self._turn = 0
-        self._lapsed = False
+        self._leader_address: str | None = None
+        self._relay_address: str | None = None
+        self._replica_position = 0
+        self._reported_lapsed = False
         self._tree = TreeCopy()
-        # Takes the requests that may crash endpoints, where they changed.
+        # Called with changed quarantine cases.
         self.on_quarantine: Callable[[QuarantineUpdate], None]
         self._quarantine = 0
-        # Takes the evacuated availability zones, where they changed.
+        # Called with changed evacuations of availability zones.
         self.on_evacuations: Callable[[EvacuationUpdate], None]
         self._evacuations = 0
-        links.serve(RELAY, self._on_relay)
+        links.serve(RELAY, self._serve_relay)
 
     @property
     def index(self) -> int:
-        """Give the log index of the tree in force here."""
+        """The log index of the tree in force on this entry."""
         return self._tree.index
 
     @property
     def revisions(self) -> dict[str, int]:
-        """Map each team to the revision in force here."""
+        """The revision of each team's branch in force on this entry."""
         return self._tree.revisions
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether a leader confirmed the tree lately."""
+        """Whether a leader confirmed the tree within the lease."""
         return self._lease.has_lease(_clock())
 
     def may_act(self) -> bool:
-        """Tell whether calls may be sent by the tree at hand."""
+        """Return whether calls may be routed by the current tree."""
         return self.index > 0 and self._lease.may_act(_clock())
 
     async def follow(self) -> None:
-        """Ask once for a newer tree; the leader holds the question."""
+        """Send one request for a newer tree; the leader may hold it."""
         if not self._settings.control:
             await asyncio.sleep(IDLE_S)
             return
-        address = self._target or self._next_replica()
-        relayed = self._relay is not None
-        asked_at = _clock()
+        address = self._leader_address or self._next_replica()
+        relayed = self._relay_address is not None
+        sent_at = _clock()
         reply = await self._links.ask(
             address,
             FOLLOW,
@@ -112,59 +112,61 @@
         if reply is None:
             log(Event.CONFIG_UNREACHABLE, "warning", address=address)
         elif reply.current:
-            self._target = address
-            self._relay = None
-            self._take(reply, asked_at)
+            self._leader_address = address
+            self._relay_address = None
+            self._apply(reply, sent_at)
             return
         hint = reply.leader_address if reply is not None else None
-        self._target = hint if hint != address else None
+        self._leader_address = hint if hint != address else None
         self._report_lease()
         if relayed or not self.has_lease:
-            await self._ask_entries()
+            await self._try_entries()
         await asyncio.sleep(RETRY_S)
 
     async def leave(self) -> None:
-        """Tell the leader that this entry acts on no tree any more."""
-        if self._target is None:
+        """Notify the leader that this entry leaves."""
+        if self._leader_address is None:
             return
         request = FollowRequest(self._settings.name, self.index, True)
-        await self._links.ask(self._target, FOLLOW, request, LEAVE_TIMEOUT_S)
+        await self._links.ask(
+            self._leader_address, FOLLOW, request, LEAVE_TIMEOUT_S
+        )
 
-    async def _ask_entries(self) -> None:
-        # Cut off from control, but not from the other entries, this entry
-        # stays current through one of them.
-        if self._relay is not None:
-            if await self._ask_entry(self._relay, True):
+    async def _try_entries(self) -> None:
+        # If only this entry is cut off from control, another entry can relay
+        # its requests.
+        if self._relay_address is not None:
+            if await self._try_entry(self._relay_address, True):
                 return
-            self._relay = None
+            self._relay_address = None
         await asyncio.gather(
-            *[self._ask_entry(one, False) for one in self._entries]
+            *[self._try_entry(one, False) for one in self._entries]
         )
 
-    async def _ask_entry(self, address: str, hold: bool) -> bool:
-        asked_at = _clock()
-        answer: RelayReply | None = await self._links.ask(
+    async def _try_entry(self, address: str, hold: bool) -> bool:
+        sent_at = _clock()
+        relay_reply: RelayReply | None = await self._links.ask(
             address,
             RELAY,
             self._request(hold),
             RELAY_TIMEOUT_S if hold else PROBE_TIMEOUT_S,
         )
-        if answer is None:
+        if relay_reply is None:
             return False
-        if answer.reply is None:
+        if relay_reply.reply is None:
             self._lease.record_leaderless(address, _clock())
             return False
-        if not answer.reply.current:
+        if not relay_reply.reply.current:
             return False
-        self._relay = address
-        self._take(answer.reply, asked_at)
+        self._relay_address = address
+        self._apply(relay_reply.reply, sent_at)
         return True
 
-    async def _on_relay(self, request: FollowRequest) -> RelayReply:
-        if self._target is None or not self.has_lease:
+    async def _serve_relay(self, request: FollowRequest) -> RelayReply:
+        if self._leader_address is None or not self.has_lease:
             return RelayReply(None)
         reply = await self._links.ask(
-            self._target,
+            self._leader_address,
             FOLLOW,
             request,
             TIMEOUT_S if request.hold else PROBE_TIMEOUT_S,
@@ -183,11 +185,11 @@
 
     def _next_replica(self) -> str:
         replicas = self._settings.control
-        self._turn += 1
-        return replicas[self._turn % len(replicas)].grpc_address
+        self._replica_position += 1
+        return replicas[self._replica_position % len(replicas)].grpc_address
 
-    def _take(self, reply: FollowReply, asked_at: float) -> None:
-        # Before the tree: an entry that starts acts as soon as it has one.
+    def _apply(self, reply: FollowReply, sent_at: float) -> None:
+        # Before the tree: a starting entry routes calls once it has one.
         if reply.evacuations is not None:
             self._evacuations = reply.evacuations.index
             self.on_evacuations(reply.evacuations)
@@ -203,14 +205,14 @@
         if reply.quarantine is not None:
             self._quarantine = reply.quarantine.index
             self.on_quarantine(reply.quarantine)
-        self._lease.renew(asked_at)
+        self._lease.renew(sent_at)
         self._report_lease()
 
     def _report_lease(self) -> None:
         lapsed = not self.has_lease
-        if lapsed == self._lapsed or not self.index:
+        if lapsed == self._reported_lapsed or not self.index:
             return
-        self._lapsed = lapsed
+        self._reported_lapsed = lapsed
         if lapsed:
             log(
                 Event.LEASE_LAPSED,
@@ -223,6 +225,6 @@
 
 
 def _clock() -> float:
-    # Unlike the loop's clock this one goes on while the vm is suspended: a
-    # lease must not outlast its time because nobody counted it.
+    # Unlike the loop's clock, this one advances while the vm is suspended, so
+    # that a lease expires on time.
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""Test what an entry acts on when control is far, late or gone."""
+"""Test what an entry acts on when control is slow, stale or unreachable."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 
 
 class FakeLinks:
-    """Answer questions by a function of address and request."""
+    """Answer requests by a function of address and request."""
 
     def __init__(self, answer: Callable[[str, FollowRequest], Any]) -> None:
         self.answer = answer
-        self.asked: list[tuple[str, FollowRequest]] = []
+        self.requests: list[tuple[str, FollowRequest]] = []
 
     def serve(self, method: Any, handler: Any) -> None:
         """Serve nothing."""
@@ -33,14 +33,14 @@
         self, address: str, method: Any, request: Any, timeout_s: float
     ) -> Any:
         """Answer at once."""
-        self.asked.append((address, request))
+        self.requests.append((address, request))
         found = self.answer(address, request)
         if method is FOLLOW or isinstance(found, RelayReply):
             return found
         return None
 
 
-class Rig:
+class FollowerHarness:
     """Hold a follower, its fake links and a clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -72,16 +72,16 @@
         self.follower = Follower(
             settings,
             self.links,  # type: ignore[arg-type]
-            self.take,
+            self.record_tree,
         )
 
-    def take(self, reply: FollowReply) -> None:
-        """Note a tree that the entry acts on."""
+    def record_tree(self, reply: FollowReply) -> None:
+        """Record a tree that the entry applies."""
         self.trees.append(reply.index)
         self.documents.append(reply.documents)
 
     def follow(self, times: int = 1) -> None:
-        """Ask so many times."""
+        """Send a number of requests."""
 
         async def run() -> None:
             for _ in range(times):
@@ -91,41 +91,41 @@
 
 
 @pytest.fixture
-def rig(monkeypatch: pytest.MonkeyPatch) -> Rig:
-    """Build a follower that nobody answers."""
-    return Rig(monkeypatch)
+def harness(monkeypatch: pytest.MonkeyPatch) -> FollowerHarness:
+    """Build a follower whose requests get no reply."""
+    return FollowerHarness(monkeypatch)
 
 
-def scripted(reply: FollowReply) -> Callable[[str, FollowRequest], Any]:
-    """Give one answer always."""
+def always(reply: FollowReply) -> Callable[[str, FollowRequest], Any]:
+    """Return a function that always returns one reply."""
     return lambda address, request: reply
 
 
 def tree(index: int, current: bool = True) -> FollowReply:
-    """Build a leader's answer."""
+    """Build a reply to a follow request."""
     return FollowReply("control-1", None, current, index, {}, {})
 
 
-def test_only_current_answers_are_acted_on(rig: Rig) -> None:
-    """An isolated replica answers with a tree that may be old."""
-    rig.links.answer = lambda address, request: tree(5, current=False)
-    rig.follow(3)
-    assert rig.trees == []
-    assert not rig.follower.may_act()
+def test_only_current_replies_are_applied(harness: FollowerHarness) -> None:
+    """Guard against the tree of an isolated replica, which may be stale."""
+    harness.links.answer = lambda address, request: tree(5, current=False)
+    harness.follow(3)
+    assert harness.trees == []
+    assert not harness.follower.may_act()
 
 
-def test_lower_index_is_never_applied(rig: Rig) -> None:
-    """Answers overtake one another; the entry only goes forward."""
-    rig.links.answer = lambda address, request: tree(5)
-    rig.follow()
-    rig.links.answer = lambda address, request: tree(4)
-    rig.follow()
-    assert rig.trees == [5]
-    assert rig.follower.index == 5
+def test_lower_index_is_never_applied(harness: FollowerHarness) -> None:
+    """Guard against going back to an older tree when replies are reordered."""
+    harness.links.answer = lambda address, request: tree(5)
+    harness.follow()
+    harness.links.answer = lambda address, request: tree(4)
+    harness.follow()
+    assert harness.trees == [5]
+    assert harness.follower.index == 5
 
 
-def test_changed_branches_are_merged(rig: Rig) -> None:
-    """Only changed branches travel; a removed one comes as None."""
+def test_changed_branches_are_merged(harness: FollowerHarness) -> None:
+    """Merge replies of changed branches, None for a removed one."""
     for index, documents in ((3, {"a": 1, "b": 1}), (5, {"b": None, "c": 2})):
         reply = FollowReply(
             leader="control-1",
@@ -135,16 +135,16 @@
             revisions=dict.fromkeys(documents, index),
             documents=documents,
         )
-        rig.links.answer = scripted(reply)
-        rig.follow()
-    assert rig.documents == [{"a": 1, "b": 1}, {"a": 1, "c": 2}]
-    assert rig.follower.revisions == {"a": 3, "b": 5, "c": 5}
+        harness.links.answer = always(reply)
+        harness.follow()
+    assert harness.documents == [{"a": 1, "b": 1}, {"a": 1, "c": 2}]
+    assert harness.follower.revisions == {"a": 3, "b": 5, "c": 5}
 
 
-def test_hint_leads_to_the_leader(rig: Rig) -> None:
-    """A replica that follows names the leader, which is asked next.
+def test_hint_leads_to_the_leader(harness: FollowerHarness) -> None:
+    """Send the next request to the leader that a replica names.
 
-    The leader may be a replica that the entry's settings do not list.
+    The entry's settings need not list that leader.
     """
     leader = "127.0.0.1:99"
 
@@ -153,41 +153,47 @@
             return tree(7)
         return FollowReply("control-9", leader, False)
 
-    rig.links.answer = answer
-    rig.follow(2)
-    assert rig.follower.index == 7
+    harness.links.answer = answer
+    harness.follow(2)
+    assert harness.follower.index == 7
 
 
-def test_lease_counts_from_the_question(rig: Rig) -> None:
-    """The answer comes late; the leader counts from the question as well."""
+def test_lease_starts_when_the_request_is_sent(
+    harness: FollowerHarness,
+) -> None:
+    """Guard against a lease that outlasts the leader's, after a late reply."""
 
     def answer(address: str, request: FollowRequest) -> FollowReply:
-        rig.now += 4.0
+        harness.now += 4.0
         return tree(5)
 
-    rig.links.answer = answer
-    rig.follow()
-    rig.now += TREE_LEASE_S - 4.0 - 0.1
-    assert rig.follower.has_lease
-    rig.now += 0.2
-    assert not rig.follower.has_lease
-
-
-def test_question_is_not_held_when_the_lease_is_short(rig: Rig) -> None:
-    """After a lost question the renewal must not be held past its end."""
-    rig.links.answer = lambda address, request: tree(5)
-    rig.follow()
-    rig.follow()
-    assert rig.links.asked[-1][1].hold
-    rig.now += TREE_LEASE_S - 1.0
-    rig.follow()
-    assert not rig.links.asked[-1][1].hold
+    harness.links.answer = answer
+    harness.follow()
+    harness.now += TREE_LEASE_S - 4.0 - 0.1
+    assert harness.follower.has_lease
+    harness.now += 0.2
+    assert not harness.follower.has_lease
 
 
-def test_cut_entry_follows_through_another(rig: Rig) -> None:
-    """Control is out of reach for this entry alone.
+def test_request_is_not_held_when_the_lease_ends_soon(
+    harness: FollowerHarness,
+) -> None:
+    """Guard against a lease that expires while its renewal is held."""
+    harness.links.answer = lambda address, request: tree(5)
+    harness.follow()
+    harness.follow()
+    assert harness.links.requests[-1][1].hold
+    harness.now += TREE_LEASE_S - 1.0
+    harness.follow()
+    assert not harness.links.requests[-1][1].hold
+
+
+def test_entry_cut_off_from_control_follows_through_another(
+    harness: FollowerHarness,
+) -> None:
+    """Guard against an entry that stops though another can reach control.
 
-    Another entry passes its question on, so it stays current and goes on.
+    Control is unreachable for this entry only; another relays its requests.
     """
 
     def answer(address: str, request: FollowRequest) -> Any:
@@ -195,58 +201,61 @@
             return RelayReply(tree(8))
         return None
 
-    rig.links.answer = answer
-    rig.follow(2)
-    assert rig.follower.index == 8
-    assert rig.follower.has_lease
-    rig.now += 5.0
-    rig.follow()
-    relays = [one for one in rig.links.asked if one[0] in ENTRIES]
+    harness.links.answer = answer
+    harness.follow(2)
+    assert harness.follower.index == 8
+    assert harness.follower.has_lease
+    harness.now += 5.0
+    harness.follow()
+    relays = [one for one in harness.links.requests if one[0] in ENTRIES]
     assert relays[-1][0] == ENTRIES[2]
-    rig.now += 5.0
-    assert rig.follower.has_lease
+    harness.now += 5.0
+    assert harness.follower.has_lease
 
 
-def test_lost_control_does_not_stop_entries_together(rig: Rig) -> None:
-    """All of control is down; the entries reach one another.
+def test_lost_control_does_not_stop_entries_together(
+    harness: FollowerHarness,
+) -> None:
+    """Guard against an outage of all entries when control is down.
 
-    Nothing newer can be accepted without control, so all go on.
+    The entries reach one another, and no change can be accepted without
+    control, so all go on.
     """
-    rig.links.answer = lambda address, request: tree(5)
-    rig.follow()
-    rig.links.answer = lambda address, request: (
+    harness.links.answer = lambda address, request: tree(5)
+    harness.follow()
+    harness.links.answer = lambda address, request: (
         RelayReply(None) if address in ENTRIES else None
     )
-    rig.now += TREE_LEASE_S + 1.0
-    rig.follow()
-    assert not rig.follower.has_lease
-    assert rig.follower.may_act()
+    harness.now += TREE_LEASE_S + 1.0
+    harness.follow()
+    assert not harness.follower.has_lease
+    assert harness.follower.may_act()
 
 
-def test_isolated_entry_stops(rig: Rig) -> None:
-    """An entry that reaches neither control nor entries is cut off.
+def test_isolated_entry_stops(harness: FollowerHarness) -> None:
+    """Guard against calls routed by a stale tree.
 
-    Elsewhere a newer tree may be in force: it refuses, and callers go to
-    an entry that knows.
+    An entry that reaches neither control nor other entries refuses calls, as
+    a newer tree may be in force; callers then use another entry.
     """
-    rig.links.answer = lambda address, request: tree(5)
-    rig.follow()
-    rig.links.answer = lambda address, request: None
-    rig.now += TREE_LEASE_S + 1.0
-    rig.follow()
-    assert not rig.follower.may_act()
+    harness.links.answer = lambda address, request: tree(5)
+    harness.follow()
+    harness.links.answer = lambda address, request: None
+    harness.now += TREE_LEASE_S + 1.0
+    harness.follow()
+    assert not harness.follower.may_act()
 
 
 @pytest.mark.parametrize(
-    ("others", "reached", "acts"),
+    ("others", "leaderless", "acts"),
     [(0, 0, True), (1, 0, False), (1, 1, True), (15, 7, False), (15, 8, True)],
 )
 def test_more_than_half_of_all_entries_go_on(
-    others: int, reached: int, acts: bool
+    others: int, leaderless: int, acts: bool
 ) -> None:
-    """Two halves of a cut network never both go on without a lease."""
+    """Guard against both sides of a partition going on without a lease."""
     lease = TreeLease(others)
-    for number in range(reached):
+    for number in range(leaderless):
         lease.record_leaderless(f"entry-{number}", 100.0)
     assert lease.may_act(100.0) is acts
     assert lease.may_act(100.0 + TREE_LEASE_S + 1.0) is (others == 0)
