--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -33,9 +33,9 @@
 from nutmegchute_core.calls import Finish
 from nutmegchute_core.calls import NOT_RUN
 from nutmegchute_core.calls import Refuse
-from nutmegchute_core.demands import ProbeShare
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.policies import Policy
+from nutmegchute_core.probe_shares import ProbeShare
 from nutmegchute_core.routes import Route
 from nutmegchute_core.rules import Rule
 from nutmegchute_core.rules import Service
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -15,12 +15,12 @@
 from nutmegchute_core.calls import Reject
 from nutmegchute_core.calls import Result
 from nutmegchute_core.catalogs import Catalog
-from nutmegchute_core.demands import CallRate
-from nutmegchute_core.demands import ProbeShare
 from nutmegchute_core.directories import EntryInfo
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import Process
 from nutmegchute_core.pauses import PauseDetector
+from nutmegchute_core.probe_shares import CallRate
+from nutmegchute_core.probe_shares import ProbeShare
 from nutmegchute_core.replica_choosers import ReplicaChooser
 from nutmegchute_core.routes import BUFFER_BYTES
 from nutmegchute_core.routes import read_routes
--- a/tests/test_demands.py
+++ b/tests/test_probe_shares.py
@@ -1,9 +1,9 @@
 """Divide the questions to endpoints by what entries have to place."""
 
 import pytest
-from nutmegchute_core.demands import CallRate
-from nutmegchute_core.demands import ProbeShare
-from nutmegchute_core.demands import RATE_WINDOW_S
+from nutmegchute_core.probe_shares import CallRate
+from nutmegchute_core.probe_shares import ProbeShare
+from nutmegchute_core.probe_shares import RATE_WINDOW_S
 
 
 def test_rate_follows_calls() -> None:
