--- a/packages/core/nutmegchute_core/timers.py
+++ b/packages/core/nutmegchute_core/timers.py
@@ -3,10 +3,10 @@
 import heapq
 
 REQUERY = "requery"
-QUERY_TIMEOUT = "query_timeout"
+QUERY_TIMEOUT = "asked"
 EXPIRY = "expiry"
 HEDGE = "hedge"
-REQUEST_TRIAL = "request_trial"
+REQUEST_TRIAL = "seek"
 
 
 class Timers:
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -1,4 +1,4 @@
-"""Test the decisions about calls on virtual time."""
+"""Test the balancer's decisions about calls in virtual time."""
 
 import pytest
 from nutmegchute_core.balancers import Balancer
@@ -25,7 +25,7 @@
 
 
 def build(*endpoints: str) -> Balancer:
-    """Build a balancer with one service and the endpoints given."""
+    """Build a balancer with one service and the given endpoints."""
     balancer = Balancer(seed=1)
     document = team(catalogo=[LOAN, rule()])
     # The only entry may fill every slot.
@@ -37,14 +37,14 @@
 
 
 def arrive(balancer: Balancer, method: str) -> Send:
-    """Let one call arrive that is sent at once."""
+    """Submit one call that is sent at once."""
     _, actions = balancer.arrive("catalogo", method, "/", 0.0)
     assert isinstance(actions[0], Send)
     return actions[0]
 
 
 def test_answer_ends_the_call() -> None:
-    """Send once, take the answer, keep nothing."""
+    """An answered call is finished and no longer counted."""
     balancer = build("a:1")
     send = arrive(balancer, "GET")
     result = Result(send.call_id, send.attempt, ANSWERED, 0.001)
@@ -54,11 +54,11 @@
 
 
 def test_lost_loan_is_never_sent_again() -> None:
-    """A loan whose answer is lost must not run twice.
+    """A call that is not idempotent and was lost must not run twice.
 
-    The caller sees "unknown". The loan is sent, the connection breaks
-    after bytes left, and a second endpoint is free; sending it there
-    could have two libraries pack the same book.
+    The connection breaks after bytes were sent, and a second endpoint is
+    free. A retry there could lend the same book twice, so the caller gets
+    "unknown".
     """
     balancer = build("a:1", "b:1")
     send = arrive(balancer, "POST")
@@ -68,7 +68,7 @@
 
 
 def test_loan_not_run_is_sent_elsewhere() -> None:
-    """An endpoint that sheds before running lets another run the loan."""
+    """A call that an endpoint did not run is sent to another endpoint."""
     balancer = build("a:1", "b:1")
     send = arrive(balancer, "POST")
     result = Result(send.call_id, send.attempt, NOT_RUN, 0.001)
@@ -78,10 +78,10 @@
 
 
 def test_lost_lookup_that_expires_is_not_called_not_run() -> None:
-    """A lookup lost once may have run, so it ends as unknown.
+    """A call with a lost attempt may have run, so it ends as unknown.
 
-    The caller sees "unknown", not "not run": the first attempt was lost,
-    the retry waited for the other, full endpoint until the deadline.
+    The first attempt is lost, and the retry waits for the other, full
+    endpoint until the deadline. "Not run" could be false.
     """
     balancer = build("a:1", "b:1")
     send, *_ = [arrive(balancer, "GET") for _ in range(4)]
@@ -92,13 +92,13 @@
 
 
 @pytest.mark.parametrize(("outcome", "end"), [(LOST, Lose), (NOT_RUN, Refuse)])
-def test_lookup_with_nowhere_else_to_go_ends_at_once(
+def test_lookup_without_another_endpoint_ends_at_once(
     outcome: str, end: type[Action]
 ) -> None:
-    """A lookup that failed at the only endpoint that stays ends at once.
+    """A call that failed at the only endpoint left ends at once.
 
-    The caller learns it when the attempt ends, and not at its deadline:
-    the other endpoint leaves, so a retry could only wait in the queue.
+    The other endpoint is draining, so a retry could only wait in the queue
+    until the deadline.
     """
     balancer = build("a:1", "b:1")
     leaving = announcement("b:1", state=DRAINING)
@@ -111,7 +111,7 @@
 
 
 def test_draining_endpoint_gets_nothing() -> None:
-    """Work for a service whose only endpoint leaves waits, then refuses."""
+    """A call waits and is then refused if the only endpoint drains."""
     balancer = build("a:1")
     leaving = announcement("a:1", state=DRAINING)
     balancer.update_upstreams([leaving], 0.0)
@@ -121,7 +121,7 @@
 
 
 def test_abandoned_call_is_cancelled_and_frees_its_slot() -> None:
-    """A caller that hangs up leaves no slot taken."""
+    """A caller that disconnects frees the slot of its call."""
     balancer = build("a:1")
     sends = [arrive(balancer, "GET") for _ in range(2)]
     call_id, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
@@ -133,11 +133,11 @@
 
 
 def test_shed_call_is_told_to_come_back_at_once() -> None:
-    """Name a time when there is room, not a time by habit.
+    """A shed call gets a short Retry-After while the queue is empty.
 
-    Endpoints shed calls at random while they have free slots and nobody
-    waits. A caller that is told 0.2 s is late for an objective of 0.3 s
-    however well its next try goes.
+    Endpoints shed calls at random while they have free slots. With a
+    Retry-After of 0.2 s the caller would miss an objective of 0.3 s
+    whatever happens on its next try.
     """
     balancer = build("a:1")
     send = arrive(balancer, "POST")
@@ -148,11 +148,11 @@
 
 
 def test_scarce_retry_goes_to_a_caller_that_came_back() -> None:
-    """Send a shed call again where its caller has come back already.
+    """A scarce retry is reserved for a caller that has retried already.
 
-    Endpoints shed at random, and more calls than may be sent again. The
-    first is, from what was saved up. The second caller is told to come
-    back; the third, with less of its time left, is placed anew at once.
+    Endpoints shed more calls than the budget allows to retry. The first
+    call is retried from saved tokens and the second is refused. The third,
+    with less time left because its caller retried, is sent again at once.
     """
     balancer = build("a:1", "b:1")
     balancer.limit_extra(0.2, 2.0)
@@ -166,8 +166,8 @@
     assert outcomes == [[Send], [Refuse], [Send]]
 
 
-def test_crash_under_a_call_of_a_service_that_was_declared_anew() -> None:
-    """Guard against a call whose end is never told to its caller."""
+def test_crash_during_a_call_to_a_service_declared_again() -> None:
+    """A call whose service was removed and added again still ends."""
     balancer = build("a:1")
     send = arrive(balancer, "POST")
     balancer.configure({}, now=0.1)
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("suspect", [False, True])
 def test_suspect_is_not_hedged(suspect: bool) -> None:
-    """Guard against a second endpoint while the first may be crashing."""
+    """A suspect is not sent to a second endpoint that it might crash."""
     balancer = Balancer(seed=1)
     document = team(catalogo=[rule(hedge=True, attempts=2)])
     document["services"]["catalogo"]["most_entries"] = 1
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -1,4 +1,4 @@
-"""Test hedges, retries in layers and early refusals on virtual time."""
+"""Test hedges, retries in layers and early refusals in virtual time."""
 
 from collections import Counter
 
@@ -30,7 +30,7 @@
 
 
 def build(endpoints: int, probes_per_s: float = 0.0) -> Balancer:
-    """Build a balancer that has seen a hundred answers."""
+    """Build a balancer that has recorded 300 answers."""
     balancer = Balancer(seed=1)
     service = {
         "rules": [LOAN, SYNC, LOOKUP],
@@ -51,14 +51,14 @@
 
 
 def arrive(balancer: Balancer, method: str, now: float = 0.0) -> Send:
-    """Let one call arrive that is sent at once."""
+    """Submit one call that is sent at once."""
     _, actions = balancer.arrive("catalogo", method, "/", now)
     assert isinstance(actions[0], Send)
     return actions[0]
 
 
-def wake(balancer: Balancer, until: float) -> list[Send]:
-    """Tick as asked for until a time; return the sends."""
+def run_until(balancer: Balancer, until: float) -> list[Send]:
+    """Run all wake-ups up to a time; return the sends."""
     sends: list[Send] = []
     while True:
         at = balancer.next_wakeup()
@@ -71,15 +71,15 @@
 
 
 def test_late_lookup_is_hedged_and_the_loser_cancelled() -> None:
-    """A lookup stuck at a slow endpoint is answered by another.
+    """A call stuck at a slow endpoint is answered by another.
 
-    The first endpoint says nothing; after the measured delay the lookup
-    goes to a second one, whose answer ends the call. The first attempt is
-    cancelled, its late result changes nothing and its slot is free.
+    After the hedge delay the call is sent to a second endpoint, whose
+    answer ends it. The first attempt is cancelled, its slot is free and
+    its late result changes nothing.
     """
     balancer = build(2)
     first = arrive(balancer, "GET")
-    (hedge,) = wake(balancer, 0.5)
+    (hedge,) = run_until(balancer, 0.5)
     assert hedge.call_id == first.call_id
     assert hedge.endpoint != first.endpoint
     won = Result(hedge.call_id, hedge.attempt, ANSWERED, ANSWER_S, 0)
@@ -92,17 +92,17 @@
 
 
 def test_late_loan_is_never_hedged() -> None:
-    """A loan that takes long may still run; a second one would double it."""
+    """A slow call that is not idempotent could run twice if hedged."""
     balancer = build(3)
     arrive(balancer, "POST")
-    assert wake(balancer, 0.9) == []
+    assert run_until(balancer, 0.9) == []
 
 
 def test_hedged_lookup_survives_the_loss_of_one_attempt() -> None:
-    """One attempt lost, the other answers: the caller sees the answer."""
+    """With one attempt lost, the caller gets the other one's answer."""
     balancer = build(2)
     first = arrive(balancer, "GET")
-    (hedge,) = wake(balancer, 0.5)
+    (hedge,) = run_until(balancer, 0.5)
     lost = Result(first.call_id, first.attempt, LOST, 0.5)
     assert balancer.finish(lost, 0.5) == []
     won = Result(hedge.call_id, hedge.attempt, ANSWERED, 0.1, 0)
@@ -111,7 +111,7 @@
 
 
 def test_failed_answer_is_retried_only_where_it_may_repeat() -> None:
-    """A 500 for a lookup is tried elsewhere; for a loan it is passed on.
+    """A 500 is retried if the call is idempotent and else passed on.
 
     The endpoint may have recorded the loan before it failed.
     """
@@ -127,8 +127,8 @@
     assert isinstance(end, Finish)
 
 
-def test_call_that_is_a_retry_gets_no_other() -> None:
-    """Sixteen layers that each retry a retry would send 65,536 calls."""
+def test_call_that_is_a_retry_is_not_retried() -> None:
+    """Sixteen layers that each retry would make 65,536 calls of one."""
     balancer = build(3)
     call_id, actions = balancer.arrive("catalogo", "GET", "/", 0.0, attempt=2)
     assert isinstance(actions[0], Send)
@@ -138,7 +138,7 @@
 
 
 def test_retries_stop_when_everything_fails() -> None:
-    """With all endpoints failing, extra sends end with the budget."""
+    """With all endpoints failing, retries end with the budget."""
     balancer = build(3)
     sends = 0
     for step in range(200):
@@ -153,12 +153,12 @@
     assert sends <= 200 * 1.08 + EXTRA_BURST
 
 
-def test_hopeless_call_is_refused_at_once() -> None:
-    """What cannot be answered in time is told so while it can go on.
+def test_call_that_cannot_meet_its_deadline_is_refused_at_once() -> None:
+    """A call that cannot meet its deadline is refused on arrival.
 
-    One endpoint with two slots is busy and calls queue up. A lookup that
-    would wait past half its deadline gets "not run" with the time to come
-    back on arrival, not after waiting in vain; a sync can wait and does.
+    The only endpoint is busy and calls queue up. A lookup that would wait
+    for more than half its deadline gets "not run" and a Retry-After at
+    once; a background call with a long deadline waits.
     """
     balancer = build(1)
     refused = None
@@ -174,7 +174,7 @@
 
 
 def test_retry_that_waits_does_not_hold_up_the_next_call() -> None:
-    """A call behind a stuck retry goes to the endpoint the retry avoids."""
+    """A call behind a waiting retry uses the endpoint the retry avoids."""
     balancer = build(2)
     first, *_ = [arrive(balancer, "GET") for _ in range(4)]
     result = Result(first.call_id, first.attempt, LOST, 0.001)
@@ -183,9 +183,9 @@
 
 
 def test_only_an_ejected_endpoint_is_probed() -> None:
-    """A healthy pool costs no probe; one whose pause is over is asked.
+    """Only an endpoint whose ejection time is over is probed.
 
-    Until its probe is answered no caller's request goes there.
+    Until the probe is answered, no call is sent there.
     """
     balancer = build(3, probes_per_s=10.0)
     assert balancer.tick(1.0) == []
@@ -210,10 +210,10 @@
 
 
 def test_endpoint_without_probe_path_still_comes_back() -> None:
-    """A wrong probe path keeps no endpoint out for ever.
+    """A wrong probe path does not exclude an endpoint for ever.
 
-    Every probe fails although the endpoint is well again. After a longer
-    pause it gets one call as its trial, and with the answer all others.
+    Every probe fails although the endpoint has recovered. After a longer
+    pause it gets one call as a trial, and more once that is answered.
     """
     balancer = build(2, probes_per_s=10.0)
     bad = arrive(balancer, "POST", 1.0)
@@ -230,12 +230,12 @@
     assert arrive(balancer, "GET", later).endpoint == bad.endpoint
 
 
-def test_impatient_caller_ejects_no_endpoint() -> None:
-    """Calls given no time are lost, and tell nothing of the endpoints.
+def test_short_deadlines_eject_no_endpoint() -> None:
+    """Calls with very short deadlines do not eject endpoints.
 
-    One caller asks with deadlines of a millisecond. Each attempt times
-    out as lost; were these counted as failures, the endpoints would be
-    ejected one by one and every other caller would be refused.
+    A caller sends deadlines of one millisecond and each attempt is lost.
+    Counted as failures, these would eject the endpoints one by one, and all
+    other callers would be refused.
     """
     balancer = build(2)
     lost: Counter[str] = Counter()
--- a/tests/test_balancers_stateful.py
+++ b/tests/test_balancers_stateful.py
@@ -1,4 +1,4 @@
-"""Drive one balancer at random and hold it to simple rules."""
+"""Check invariants of one balancer under random events."""
 
 from collections import Counter
 
@@ -41,7 +41,7 @@
 
 
 class ModelCall:
-    """Remember what became of one call."""
+    """Record the attempts and the outcome of one call."""
 
     def __init__(self, method: str, repeated: bool) -> None:
         self.method = method
@@ -53,7 +53,7 @@
 
 
 class BalancerMachine(RuleBasedStateMachine):
-    """Let calls, answers, losses, probes and upstreams come in any order."""
+    """Generate calls, answers, losses, probes and upstreams in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -78,21 +78,21 @@
         self.announce()
 
     def announce(self) -> None:
-        """Tell the balancer who lives."""
+        """Send the live endpoints to the balancer."""
         found = [
             announcement(
                 address, slots=SLOTS, state=state, incarnation=incarnation
             )
             for address, (state, incarnation) in self.live.items()
         ]
-        self.take(self.balancer.update_upstreams(found, self.now))
+        self.perform(self.balancer.update_upstreams(found, self.now))
 
-    def take(self, actions: list[Action]) -> None:
-        """Check each action against the rules and carry it out."""
+    def perform(self, actions: list[Action]) -> None:
+        """Check each action and apply it to the model."""
         for action in actions:
             if isinstance(action, Probe):
                 assert self.live[action.endpoint][0] == UP
-                self.note_probe(action)
+                self.add_probe(action)
                 continue
             call = self.calls[action.call_id]
             if isinstance(action, Cancel):
@@ -109,12 +109,12 @@
             elif isinstance(action, Lose):
                 assert call.may_have_run and not call.out
 
-    def note_probe(self, probe: Probe) -> None:
-        """Remember a question."""
+    def add_probe(self, probe: Probe) -> None:
+        """Record a probe."""
         self.probes.append(self.now)
 
     def check_send(self, call: ModelCall, send: Send) -> None:
-        """Hold a send to the rules."""
+        """Check that a send is allowed."""
         state, incarnation = self.live[send.endpoint]
         assert state == UP
         assert send.remaining_s > 0
@@ -129,7 +129,7 @@
         call.out.add(send.attempt)
 
     def open_attempts(self) -> list[tuple[int, int]]:
-        """List the attempts under way."""
+        """Return the attempts in flight."""
         return [
             (call_id, attempt)
             for call_id, call in self.calls.items()
@@ -138,14 +138,14 @@
 
     @step(method=st.sampled_from(METHODS), attempt=st.integers(1, 2))
     def arrive(self, method: str, attempt: int) -> None:
-        """Let a call arrive."""
+        """Submit a call."""
         repeated = attempt > 1
         self.admitted += not repeated
         call_id, actions = self.balancer.arrive(
             "catalogo", method, "/", self.now, None, attempt
         )
         self.calls[call_id] = ModelCall(method, repeated)
-        self.take(actions)
+        self.perform(actions)
 
     @step(
         pick=st.integers(0, 1000),
@@ -156,7 +156,7 @@
     def end(
         self, pick: int, outcome: str, load: int | None, failed: bool
     ) -> None:
-        """Let an attempt end."""
+        """End an attempt."""
         found = self.open_attempts()
         if not found:
             return
@@ -171,22 +171,22 @@
         if outcome == ANSWERED and not failed:
             assert isinstance(actions[0], Finish)
             assert actions[0].attempt == attempt
-        self.take(actions)
+        self.perform(actions)
 
     @step(pick=st.integers(0, 1000))
     def abandon(self, pick: int) -> None:
-        """Let a caller hang up."""
+        """Disconnect a caller."""
         found = [one for one, call in self.calls.items() if not call.ended]
         if not found:
             return
         call_id = found[pick % len(found)]
         actions = self.balancer.abandon(call_id, self.now)
-        self.take(actions)
+        self.perform(actions)
         assert not self.calls.pop(call_id).out
 
     @step(address=st.sampled_from(ADDRESSES), state=st.sampled_from(STATES))
     def change(self, address: str, state: str) -> None:
-        """Let an endpoint come, drain, go or start anew."""
+        """Add, drain, remove or restart an endpoint."""
         _, incarnation = self.live.get(address, (UP, 0))
         if state == "gone":
             self.live.pop(address, None)
@@ -199,15 +199,15 @@
 
     @step()
     def all_arrive(self) -> None:
-        """Let more endpoints live than one decision looks at."""
+        """Announce more endpoints than one decision considers."""
         for address in ADDRESSES:
             self.live.setdefault(address, (UP, 1))
         self.announce()
 
     @step(address=st.sampled_from(ADDRESSES), load=st.none() | st.just(1))
     def probe(self, address: str, load: int | None) -> None:
-        """Let a probe end, also one nobody waits for."""
-        self.take(
+        """End a probe, possibly one that was not sent."""
+        self.perform(
             self.balancer.record_probe(
                 "catalogo", address, load, 0.005, self.now
             )
@@ -215,28 +215,27 @@
 
     @step(seconds=st.sampled_from((0.001, 0.05, 0.3, 3.0)))
     def wait(self, seconds: float) -> None:
-        """Let time pass, waking as asked."""
+        """Advance the time and run all wake-ups."""
         end = self.now + seconds
         while True:
             at = self.balancer.next_wakeup()
             if at is None or at > end:
                 break
             self.now = max(self.now, at)
-            self.take(self.balancer.tick(self.now))
+            self.perform(self.balancer.tick(self.now))
         self.now = end
-        self.take(self.balancer.tick(self.now))
+        self.perform(self.balancer.tick(self.now))
 
     @step()
     def configure(self) -> None:
-        """Let a change of configuration come into force."""
+        """Apply the configuration again."""
         self.balancer.configure(self.services, self.now)
 
     @invariant()
-    def slots_hold(self) -> None:
-        """Find at most its slots under way at each endpoint process.
+    def slots_are_respected(self) -> None:
+        """Check that no endpoint process has more attempts than slots.
 
-        One whose lease ran out was forgotten; if it comes back it counts
-        as another.
+        An endpoint that was removed and comes back counts as another.
         """
         counts = Counter(
             call.sent[attempt]
@@ -246,8 +245,8 @@
         assert max(counts.values(), default=0) <= SLOTS
 
     @invariant()
-    def budgets_hold(self) -> None:
-        """Find extra sends and probes within their budgets."""
+    def budgets_are_respected(self) -> None:
+        """Check that extra sends and probes stay within their budgets."""
         most = EXTRA_START + EXTRA_SHARE * self.admitted
         assert self.extra <= most + 1e-6
         share = int(PROBES_PER_S / MOST_ENTRIES)
@@ -256,19 +255,19 @@
 
     @invariant()
     def counts_agree(self) -> None:
-        """Find as many calls open as the balancer does."""
+        """Check that model and balancer count the same open calls."""
         waiting = sum(not call.ended for call in self.calls.values())
         assert self.balancer.in_flight == waiting
 
     def teardown(self) -> None:
-        """Find one outcome for every call in the end."""
+        """Check that every call has one outcome in the end."""
         for _ in range(3):
             self.wait(3.0)
             for call_id, attempt in self.open_attempts():
                 self.calls[call_id].out.discard(attempt)
                 self.calls[call_id].may_have_run = True
                 result = Result(call_id, attempt, LOST, 1.0)
-                self.take(self.balancer.finish(result, self.now))
+                self.perform(self.balancer.finish(result, self.now))
         assert all(call.ended for call in self.calls.values())
         assert self.balancer.in_flight == 0
 
@@ -279,11 +278,11 @@
 TestBalancer = BalancerMachine.TestCase
 
 
-class AskingMachine(BalancerMachine):
-    """Let endpoints tell how long work takes, so that they are asked.
+class QueryMachine(BalancerMachine):
+    """Let endpoints report how long work takes, so that they are queried.
 
-    Questions are answered late, twice, wrongly or never, and calls end,
-    hedge and are abandoned meanwhile.
+    Queries are answered late, twice, wrongly or never, while calls end, are
+    hedged and abandoned.
     """
 
     def __init__(self) -> None:
@@ -291,8 +290,8 @@
         self.asked: list[str] = []
         self.balancer.limit_inquiries(1000.0, 1.0)
 
-    def note_probe(self, probe: Probe) -> None:
-        """Remember a question that can be answered."""
+    def add_probe(self, probe: Probe) -> None:
+        """Record a query that can be answered."""
         self.asked.append(probe.endpoint)
 
     @step(
@@ -304,12 +303,12 @@
     def answer(
         self, pick: int, load: int | None, stretch: float, again: bool
     ) -> None:
-        """Answer a question."""
+        """Answer a query."""
         if not self.asked:
             return
         index = pick % len(self.asked)
         address = self.asked[index] if again else self.asked.pop(index)
-        self.take(
+        self.perform(
             self.balancer.record_probe(
                 "catalogo", address, load, 0.001, self.now, stretch
             )
@@ -320,8 +319,8 @@
         load=st.integers(0, 6),
         stretch=st.sampled_from((1.0, 5.0)),
     )
-    def end_and_tell(self, pick: int, load: int, stretch: float) -> None:
-        """Let an attempt be answered with a report."""
+    def end_with_report(self, pick: int, load: int, stretch: float) -> None:
+        """Answer an attempt with a load report."""
         found = self.open_attempts()
         if not found:
             return
@@ -330,10 +329,10 @@
         result = Result(
             call_id, attempt, ANSWERED, 0.01, load, stretch=stretch
         )
-        self.take(self.balancer.finish(result, self.now))
+        self.perform(self.balancer.finish(result, self.now))
 
 
-AskingMachine.TestCase.settings = settings(
+QueryMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=50
 )
-TestAsking = AskingMachine.TestCase
+TestAsking = QueryMachine.TestCase
