--- a/packages/core/nutmegchute_core/claims.py
+++ b/packages/core/nutmegchute_core/claims.py
@@ -1,4 +1,4 @@
-"""Pass claims on idempotency keys between entries and the ledger."""
+"""Define the messages by which entries claim idempotency keys."""
 
 import msgspec
 
@@ -12,11 +12,11 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """Ask to be the only one to send a request.
+    """Claim the exclusive right to send a request.
 
-    ``digest`` names service and idempotency key, ``fingerprint`` the
-    request. ``token`` is the claim's own: a claim that is sent again
-    after a lost reply is known by it.
+    ``digest`` identifies the service and the idempotency key,
+    ``fingerprint`` the request. ``token`` is unique to the claim and
+    identifies it when it is resent after a lost reply.
     """
 
     digest: bytes
@@ -25,7 +25,7 @@
 
 
 class Settlement(msgspec.Struct, frozen=True, array_like=True):
-    """Tell what became of a claimed request: RAN, NOT_RUN or UNKNOWN."""
+    """Report the outcome of a claimed request: RAN, NOT_RUN or UNKNOWN."""
 
     claim: Claim
     outcome: str
@@ -33,11 +33,12 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Tell a claim's entry what the ledger holds.
+    """Answer a claim.
 
-    FIRST lets it send. OPEN: another claim holds the key and has not been
-    settled. RAN carries the answer's status. MISMATCH: the key belongs to
-    another request. FULL: the ledger takes no more for now.
+    FIRST permits sending the request. OPEN: another claim holds the key and
+    is not settled yet. RAN carries the HTTP status of the answer. MISMATCH:
+    another request holds the key. FULL: the ledger has no room for the key.
+    NOT_RUN and UNKNOWN: the outcome with which the key was settled.
     """
 
     outcome: str
@@ -45,24 +46,25 @@
 
 
 class ClaimRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Carry what one entry gathered since its last request."""
+    """Hold the claims and settlements of one entry since its last request."""
 
     claims: list[Claim]
     settlements: list[Settlement]
 
 
 class ClaimReply(msgspec.Struct, frozen=True):
-    """Give the claims' answers in order, or only name the leader."""
+    """Return the answers in the order of the claims, or name the leader."""
 
     leader: str | None
     answers: list[ClaimAnswer] | None
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, tag=True):
-    """Hold one entry's request in the log.
+    """Apply one entry's request to the ledger.
 
-    ``elapsed_s`` is the time since the same leader's last batch: the
-    ledger's time is their sum, so no wall clock can make it jump.
+    ``elapsed_s`` is the time since the same leader's last batch. The
+    ledger's time is the sum of these, so that it cannot jump with a wall
+    clock.
     """
 
     elapsed_s: float
@@ -70,6 +72,6 @@
 
 
 class ClaimAnswers(msgspec.Struct, frozen=True):
-    """Tell what became of a batch."""
+    """Hold the answers to a batch, in the order of its claims."""
 
     answers: list[ClaimAnswer]
--- a/packages/core/nutmegchute_core/declarations.py
+++ b/packages/core/nutmegchute_core/declarations.py
@@ -1,7 +1,7 @@
-"""Check declarations: the form of a branch, and branches together.
+"""Validate declarations: each branch by its schema, and all together.
 
-Only control and operators' tools check; entries, which take what was
-checked, do not load what this needs.
+Only control and the operators' tools import this module. Entries get
+validated declarations, so they need not load the schema validator.
 """
 
 from typing import Any
@@ -118,7 +118,10 @@
 
 
 def check_team(team: str, document: Any) -> None:
-    """Raise DeclarationError at the first wrong place of a team's branch."""
+    """Validate the document of a team's branch.
+
+    :raises DeclarationError: the first invalid path, and why
+    """
     errors = sorted(
         _TEAM_VALIDATOR.iter_errors(document),
         key=lambda error: list(map(str, error.absolute_path)),
@@ -129,7 +132,10 @@
 
 
 def check_tree(documents: dict[str, Any]) -> None:
-    """Raise DeclarationError where branches contradict one another."""
+    """Validate the branches of all teams together.
+
+    :raises DeclarationError: two branches conflict, or a service is missing
+    """
     owners: dict[str, str] = {}
     for team in sorted(documents):
         for name in documents[team]["services"]:
@@ -143,30 +149,30 @@
 
 
 def _check_routes(documents: dict[str, Any], owners: dict[str, str]) -> None:
-    places: dict[tuple[str, str], str] = {}
+    seen: dict[tuple[str, str], str] = {}
     for team in sorted(documents):
         for name, route in documents[team].get("routes", {}).items():
-            where = f"{team}/routes/{name}"
+            path = f"{team}/routes/{name}"
             for service in services_of(route):
                 if service not in owners:
                     raise DeclarationError(
-                        where, f"service {service!r} is not declared"
+                        path, f"service {service!r} is not declared"
                     )
             if route["idempotent"] and route.get("large_bodies"):
                 raise DeclarationError(
-                    where, "a route of large bodies cannot be idempotent"
+                    path, "a route of large bodies cannot be idempotent"
                 )
-            place = (route["host"].lower(), route["path_prefix"])
-            if place in places:
+            match = (route["host"].lower(), route["path_prefix"])
+            if match in seen:
                 raise DeclarationError(
-                    where,
-                    f"{places[place]} has this host and prefix already",
+                    path,
+                    f"{seen[match]} has this host and prefix already",
                 )
-            places[place] = where
+            seen[match] = path
 
 
 def services_of(route: dict[str, Any]) -> list[str]:
-    """List the services that a route's requests may go to."""
+    """Return the services to which a route may send requests."""
     if "split" not in route:
         return [route["service"]]
     return [part["service"] for part in route["split"]]
--- a/packages/core/nutmegchute_core/directories.py
+++ b/packages/core/nutmegchute_core/directories.py
@@ -1,4 +1,4 @@
-"""Answer callers that ask which entries to use."""
+"""Choose entries for the callers that look them up."""
 
 import math
 from collections.abc import Collection
@@ -7,12 +7,12 @@
 
 ENTRY_LEASE_S = 2.5
 DEMAND_HALF_LIFE_S = 20.0
-PRIOR_ASKS = 0.5
+PRIOR_LOOKUPS = 0.5
 MAX_ENTRIES = 64
 
 
 class EntryInfo(msgspec.Struct, frozen=True):
-    """Describe one entry as callers may use it."""
+    """Describe one entry to callers."""
 
     name: str
     address: str
@@ -21,7 +21,7 @@
 
 
 class Demand:
-    """Count callers' questions by availability zone, the old ones fading."""
+    """Count callers' lookups by availability zone, with exponential decay."""
 
     __slots__ = ("_at", "_counts")
 
@@ -30,17 +30,17 @@
         self._at = 0.0
 
     def add(self, availability_zone: str, now: float) -> None:
-        """Count one question."""
-        self._fade(now)
+        """Count one lookup."""
+        self._decay(now)
         known = self._counts.get(availability_zone, 0.0)
         self._counts[availability_zone] = known + 1.0
 
     def counts(self, now: float) -> dict[str, float]:
-        """Map zones to their faded counts."""
-        self._fade(now)
+        """Return the decayed count of each zone."""
+        self._decay(now)
         return self._counts
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         share = math.exp2((self._at - now) / DEMAND_HALF_LIFE_S)
         self._at = now
         for zone in self._counts:
@@ -48,156 +48,167 @@
 
 
 def exclude_evacuated(
-    words: list[EntryInfo], evacuated: Collection[str]
+    entries: list[EntryInfo], evacuated: Collection[str]
 ) -> list[EntryInfo]:
-    """Leave out the entries of evacuated zones, if others are there.
+    """Exclude the entries of evacuated zones, unless none would remain.
 
-    Each of their calls would go between zones, which is dear.
+    All calls through such an entry would cross zones, which is costly.
     """
-    kept = [one for one in words if one.availability_zone not in evacuated]
-    return kept or words
+    kept = [one for one in entries if one.availability_zone not in evacuated]
+    return kept or entries
 
 
 class Directory:
-    """Keep the entries heard of lately and choose a subset per caller."""
+    """Track the live entries and choose a subset for each caller.
 
-    __slots__ = ("_credits", "_demand", "_heard", "_phase", "_self")
+    ``phase``, from 0 to 1, offsets the choice from that of other entries.
+    """
+
+    __slots__ = ("_credits", "_demand", "_entries", "_phase", "_self")
 
     def __init__(self, own: EntryInfo, phase: float = 0.0) -> None:
         self._self = own
         self._phase = phase
-        self._heard: dict[str, tuple[EntryInfo, dict[str, float], float]] = {}
+        self._entries: dict[
+            str, tuple[EntryInfo, dict[str, float], float]
+        ] = {}
         self._demand = Demand()
         self._credits: dict[str | None, dict[str, float]] = {}
 
     def update(
-        self, word: EntryInfo, demand: dict[str, float], dated_at: float
+        self, entry: EntryInfo, demand: dict[str, float], dated_at: float
     ) -> None:
-        """Take an entry's word about itself, true at ``dated_at``."""
-        if word.name == self._self.name:
+        """Record an entry's description of itself as of ``dated_at``."""
+        if entry.name == self._self.name:
             return
-        known = self._heard.get(word.name)
-        if known is None and len(self._heard) >= MAX_ENTRIES:
+        known = self._entries.get(entry.name)
+        if known is None and len(self._entries) >= MAX_ENTRIES:
             return
         if known is not None and dated_at < known[2]:
             return
-        self._heard[word.name] = (word, demand, dated_at)
+        self._entries[entry.name] = (entry, demand, dated_at)
 
     def remove(self, name: str) -> None:
-        """Forget an entry that did not answer, until it is heard again."""
-        self._heard.pop(name, None)
+        """Remove an entry that did not answer, until its next update."""
+        self._entries.pop(name, None)
 
     def expire(self, now: float) -> None:
-        """Forget entries that vanished."""
-        for name, (_, _, dated_at) in list(self._heard.items()):
+        """Remove the entries whose lease has expired."""
+        for name, (_, _, dated_at) in list(self._entries.items()):
             if now - dated_at > ENTRY_LEASE_S:
-                del self._heard[name]
+                del self._entries[name]
 
     def drain(self) -> None:
-        """Mark this entry as leaving."""
+        """Mark this entry as draining."""
         self._self = msgspec.structs.replace(self._self, draining=True)
 
     @property
     def own(self) -> EntryInfo:
-        """Describe this entry itself."""
+        """The description of this entry."""
         return self._self
 
     def demand(self, now: float) -> dict[str, float]:
-        """Map zones to the questions that this entry was asked lately."""
+        """Return the recent lookups at this entry, by the callers' zone."""
         counts = self._demand.counts(now)
         return {zone: round(count, 1) for zone, count in counts.items()}
 
     def usable(self, now: float) -> list[EntryInfo]:
-        """List the entries that callers may be given, by name."""
-        words = [] if self._self.draining else [self._self]
-        for word, _, dated_at in self._heard.values():
-            if word.draining or now - dated_at > ENTRY_LEASE_S:
+        """Return the entries that callers may use, sorted by name."""
+        entries = [] if self._self.draining else [self._self]
+        for entry, _, dated_at in self._entries.values():
+            if entry.draining or now - dated_at > ENTRY_LEASE_S:
                 continue
-            words.append(word)
-        return sorted(words, key=lambda word: word.name)
+            entries.append(entry)
+        return sorted(entries, key=lambda entry: entry.name)
 
     def choose(
         self,
         availability_zone: str | None,
-        most: int,
+        max_entries: int,
         now: float,
         evacuated: Collection[str] = (),
     ) -> list[EntryInfo]:
-        """Choose up to ``most`` entries for one caller.
+        """Choose up to ``max_entries`` entries for one caller.
 
-        The caller's zone comes first as far as its entries' fair share of
-        all callers goes; the rest spills over to zones with room.
+        Entries of the caller's zone are preferred up to their fair share of
+        all callers; the rest spills over to zones with spare capacity.
         """
-        words = exclude_evacuated(self.usable(now), evacuated)
-        zones = {word.availability_zone for word in words}
+        entries = exclude_evacuated(self.usable(now), evacuated)
+        zones = {entry.availability_zone for entry in entries}
         zone = availability_zone if availability_zone in zones else None
         if zone is not None:
             self._demand.add(zone, now)
-        weights = self._weights(words, zone, now)
-        return self._take(words, weights, zone, most)
+        weights = self._weights(entries, zone, now)
+        return self._select(entries, weights, zone, max_entries)
 
     def _weights(
-        self, words: list[EntryInfo], zone: str | None, now: float
+        self, entries: list[EntryInfo], zone: str | None, now: float
     ) -> dict[str, float]:
         if zone is None:
-            return {word.name: 1.0 for word in words}
-        room, asked = self._shares(words, now)
-        local = min(1.0, room[zone] / asked[zone])
+            return {entry.name: 1.0 for entry in entries}
+        capacity, demand_share = self._shares(entries, now)
+        local = min(1.0, capacity[zone] / demand_share[zone])
         spare = {}
-        for name in room:
-            spare[name] = max(0.0, room[name] - asked[name])
+        for name in capacity:
+            spare[name] = max(0.0, capacity[name] - demand_share[name])
         spare[zone] = 0.0
         total = sum(spare.values())
         weights = {}
-        for word in words:
-            place = word.availability_zone
-            size = sum(1 for one in words if one.availability_zone == place)
-            share = local if place == zone else 0.0
+        for entry in entries:
+            entry_zone = entry.availability_zone
+            size = sum(
+                1 for one in entries if one.availability_zone == entry_zone
+            )
+            share = local if entry_zone == zone else 0.0
             if total > 0.0:
-                share += (1.0 - local) * spare[place] / total
-            weights[word.name] = share / size
+                share += (1.0 - local) * spare[entry_zone] / total
+            weights[entry.name] = share / size
         return weights
 
     def _shares(
-        self, words: list[EntryInfo], now: float
+        self, entries: list[EntryInfo], now: float
     ) -> tuple[dict[str, float], dict[str, float]]:
-        room: dict[str, float] = {}
-        for word in words:
-            place = word.availability_zone
-            room[place] = room.get(place, 0.0) + 1.0 / len(words)
-        counts = {zone: PRIOR_ASKS * room[zone] for zone in room}
-        heard = [demand for _, demand, _ in self._heard.values()]
-        for demand in [self._demand.counts(now), *heard]:
-            for zone in room:
+        capacity: dict[str, float] = {}
+        for entry in entries:
+            entry_zone = entry.availability_zone
+            capacity[entry_zone] = capacity.get(entry_zone, 0.0) + 1.0 / len(
+                entries
+            )
+        counts = {zone: PRIOR_LOOKUPS * capacity[zone] for zone in capacity}
+        others_demand = [demand for _, demand, _ in self._entries.values()]
+        for demand in [self._demand.counts(now), *others_demand]:
+            for zone in capacity:
                 counts[zone] += demand.get(zone, 0.0)
         total = sum(counts.values())
-        return room, {zone: counts[zone] / total for zone in counts}
+        return capacity, {zone: counts[zone] / total for zone in counts}
 
-    def _take(
+    def _select(
         self,
-        words: list[EntryInfo],
+        entries: list[EntryInfo],
         weights: dict[str, float],
         zone: str | None,
-        most: int,
+        max_entries: int,
     ) -> list[EntryInfo]:
-        # Smooth weighted round robin: every entry earns its weight with
-        # each answer and pays for being named, so that no run of answers
-        # strays from the weights by more than one. The phase keeps the
-        # entries that answer from naming the same ones in step.
+        # Smooth weighted round robin: with each answer every entry gains its
+        # weight in credit and each chosen one pays, so that no run of
+        # answers deviates from the weights by more than one. The phase keeps
+        # answering entries from choosing the same ones in lockstep.
         known = self._credits.get(zone, {})
         credits = {}
-        for place, word in enumerate(words):
-            start = (self._phase + place / len(words)) % 1.0
-            credits[word.name] = known.get(word.name, start)
+        for position, entry in enumerate(entries):
+            start = (self._phase + position / len(entries)) % 1.0
+            credits[entry.name] = known.get(entry.name, start)
         for name, weight in weights.items():
-            # Without a bound an entry whose weight is more than one place
-            # in each answer would gather credit that outlives the cause.
-            credits[name] = min(most, credits[name] + weight * most)
-        useful = [word for word in words if weights[word.name] > 0.0]
-        useful.sort(key=lambda word: (-credits[word.name], word.name))
-        chosen = useful[:most]
-        price = sum(weights.values()) * most / max(1, len(chosen))
-        for word in chosen:
-            credits[word.name] -= price
+            # Unbounded, an entry whose weight exceeds one place in each
+            # answer would gather credit that outlives the cause.
+            credits[name] = min(
+                max_entries, credits[name] + weight * max_entries
+            )
+        eligible = [entry for entry in entries if weights[entry.name] > 0.0]
+        eligible.sort(key=lambda entry: (-credits[entry.name], entry.name))
+        chosen = eligible[:max_entries]
+        cost = sum(weights.values()) * max_entries / max(1, len(chosen))
+        for entry in chosen:
+            credits[entry.name] -= cost
         self._credits[zone] = credits
         return chosen
--- a/packages/core/nutmegchute_core/evacuations.py
+++ b/packages/core/nutmegchute_core/evacuations.py
@@ -1,7 +1,7 @@
-"""Keep which availability zones operators have evacuated.
+"""Replicate which availability zones operators have evacuated.
 
-Nothing is sent to the endpoints of an evacuated availability zone. The
-orders are part of the replicated log; entries are told the whole list, for
+Nothing is sent to the endpoints of an evacuated availability zone. Orders
+are commands of the replicated log; entries always get the whole list, as
 there are only a few availability zones.
 """
 
@@ -12,11 +12,11 @@
 from .errors import EvacuationError
 from .members import NAME_PATTERN
 
-MOST_NAME = 63
+MAX_NAME_LENGTH = 63
 
 
 class EvacuationOrder(msgspec.Struct, frozen=True, tag=True):
-    """Hold an operator's order to evacuate a zone, or to take it back."""
+    """Evacuate an availability zone, or end its evacuation."""
 
     availability_zone: str
     evacuate: bool
@@ -24,22 +24,22 @@
     at_unix_s: float
 
     def describe(self) -> str:
-        """Say what the order does."""
+        """Return the order's description for the audit trail."""
         verb = "evacuated" if self.evacuate else "taken back"
         return f"availability zone {self.availability_zone} {verb}"
 
 
 class EvacuationOutcome(msgspec.Struct, frozen=True):
-    """Tell whether an order changed anything.
+    """Report whether an order changed anything.
 
-    An order that is sent again changes nothing and is accepted all the same.
+    An order that is resent is accepted, but changes nothing.
     """
 
     changed: bool
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """Hold who evacuated an availability zone, and when."""
+    """Hold an evacuated zone, the operator and the time of the order."""
 
     availability_zone: str
     operator: str
@@ -47,21 +47,21 @@
 
 
 class EvacuationUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """List all evacuated availability zones as of a log index."""
+    """Hold all evacuated availability zones as of a log index."""
 
     index: int
     availability_zones: list[str]
 
 
 class EvacuationState(msgspec.Struct, frozen=True):
-    """Hold all evacuations in the form that snapshots keep."""
+    """Hold all evacuations as they are stored in snapshots."""
 
     index: int = 0
     evacuations: list[Evacuation] = []
 
 
 class Evacuations:
-    """Apply orders in log order; every replica reaches the same list."""
+    """Apply orders in log order, so that all replicas hold the same list."""
 
     __slots__ = ("_by_zone", "_index")
 
@@ -71,17 +71,17 @@
 
     @property
     def index(self) -> int:
-        """Give the log index of the last change that entries must hear."""
+        """The log index of the last change of the list."""
         return self._index
 
     @property
     def evacuations(self) -> list[Evacuation]:
-        """List what is evacuated, in the order of the orders."""
+        """The evacuations in force, in the order of their orders."""
         return list(self._by_zone.values())
 
     @property
     def zones(self) -> list[str]:
-        """Name the availability zones that are evacuated."""
+        """The names of the evacuated availability zones."""
         return list(self._by_zone)
 
     def apply(self, index: int, order: EvacuationOrder) -> EvacuationOutcome:
@@ -99,17 +99,17 @@
         return EvacuationOutcome(True)
 
     def since(self, index: int) -> EvacuationUpdate | None:
-        """List what is evacuated, if that changed since a log index."""
+        """Return the evacuated zones, None if unchanged after an index."""
         if self._index <= index:
             return None
         return EvacuationUpdate(self._index, self.zones)
 
     def snapshot(self) -> EvacuationState:
-        """Give the list in the form that snapshots keep."""
+        """Return the evacuations as they are stored in snapshots."""
         return EvacuationState(self._index, self.evacuations)
 
     def restore(self, state: EvacuationState) -> None:
-        """Take a snapshot's list in place of the present one."""
+        """Replace the evacuations by a snapshot's."""
         self._index = state.index
         self._by_zone = {
             one.availability_zone: one for one in state.evacuations
@@ -119,12 +119,12 @@
 def check_zone(name: str) -> None:
     """Check the name of an availability zone.
 
-    One that no endpoint has named yet is taken: endpoints may come there.
+    A zone without endpoints is valid, as endpoints may start there later.
 
-    :raises EvacuationError: no availability zone can have this name
+    :raises EvacuationError: the name is invalid
     """
-    if len(name) > MOST_NAME or not re.fullmatch(NAME_PATTERN, name):
+    if len(name) > MAX_NAME_LENGTH or not re.fullmatch(NAME_PATTERN, name):
         raise EvacuationError(
             f"{name!r} is not the name of an availability zone: small "
-            f"letters, digits and dashes, at most {MOST_NAME}"
+            f"letters, digits and dashes, at most {MAX_NAME_LENGTH}"
         )
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuate availability zones: orders, entries, and what callers see."""
+"""Test evacuations of availability zones: orders, entries and callers."""
 
 import msgspec
 import pytest
@@ -40,7 +40,7 @@
 
 
 def balancer(*zones: str) -> Balancer:
-    """Build an entry's decisions with an endpoint in each named zone."""
+    """Build an entry's balancer with an endpoint in each named zone."""
     built = Balancer(seed=1, availability_zone=NEAR)
     document = team(**{SERVICE: [rule(attempts=3, hedge=True)]})
     built.configure(read_services({"lending": document}), 0.0)
@@ -51,24 +51,26 @@
 
 
 def sends(actions: list[Action]) -> list[Send]:
-    """Pick what is sent to endpoints."""
+    """Return the send actions."""
     return [one for one in actions if isinstance(one, Send)]
 
 
-def give(machine: StateMachine, index: int, zone: str, evacuate: bool) -> bool:
-    """Apply an order; tell if it changed anything."""
+def order_evacuation(
+    machine: StateMachine, index: int, zone: str, evacuate: bool
+) -> bool:
+    """Apply an order; return whether it changed anything."""
     order = EvacuationOrder(zone, evacuate, "ana", float(index))
     outcome = machine.apply(LogEntry(1, index, order))
     assert isinstance(outcome, EvacuationOutcome)
     return outcome.changed
 
 
-def test_orders_survive_a_snapshot_with_who_gave_them() -> None:
-    """Guard against an evacuation that a restarted replica forgot."""
+def test_orders_survive_a_snapshot_with_their_operators() -> None:
+    """Guard against an evacuation lost when a replica restarts."""
     machine = StateMachine()
-    assert give(machine, 1, NEAR, True)
-    assert give(machine, 2, FAR, True)
-    assert give(machine, 3, FAR, False)
+    assert order_evacuation(machine, 1, NEAR, True)
+    assert order_evacuation(machine, 2, FAR, True)
+    assert order_evacuation(machine, 3, FAR, False)
     data = msgspec.msgpack.encode(machine.snapshot())
     other = StateMachine()
     other.restore(msgspec.msgpack.decode(data, type=MachineState))
@@ -88,34 +90,34 @@
 
 
 def test_order_sent_again_changes_nothing() -> None:
-    """Guard against a second audit record and a later date of the order."""
+    """Guard against a second audit record and a later time of the order."""
     machine = StateMachine()
-    assert give(machine, 1, NEAR, True)
-    assert not give(machine, 2, NEAR, True)
+    assert order_evacuation(machine, 1, NEAR, True)
+    assert not order_evacuation(machine, 2, NEAR, True)
     assert machine.evacuations.index == 1
     assert machine.evacuations.evacuations[0].at_unix_s == 1.0
-    assert give(machine, 3, NEAR, False)
-    assert not give(machine, 4, NEAR, False)
+    assert order_evacuation(machine, 3, NEAR, False)
+    assert not order_evacuation(machine, 4, NEAR, False)
     assert machine.evacuations.index == 3
     assert len(machine.tree.audit) == 2
 
 
-def test_state_of_before_evacuations_is_read() -> None:
-    """Guard against a replica that cannot load an older snapshot."""
+def test_snapshot_without_evacuations_is_restored() -> None:
+    """Guard against a replica that cannot load a snapshot of older code."""
     state = msgspec.to_builtins(StateMachine().snapshot())
     del state["evacuations"]
     StateMachine().restore(msgspec.convert(state, MachineState))
 
 
 @pytest.mark.parametrize("name", ["", "Hall", "a b", "a/b", "a\n", "x" * 64])
-def test_ill_formed_zone_is_refused(name: str) -> None:
-    """Guard against orders about what cannot be an availability zone."""
+def test_invalid_zone_name_is_rejected(name: str) -> None:
+    """Guard against orders with an invalid name of an availability zone."""
     with pytest.raises(EvacuationError, match="availability zone"):
         check_zone(name)
 
 
-def test_zone_that_nobody_named_is_taken() -> None:
-    """Guard against endpoints that come to a zone evacuated before."""
+def test_zone_without_endpoints_can_be_evacuated() -> None:
+    """Guard against sends to endpoints that start in an evacuated zone."""
     check_zone("hall-9")
     found = balancer(FAR)
     found.apply_evacuations(EvacuationUpdate(5, ["hall-9"]), 0.0)
@@ -147,8 +149,8 @@
     assert set(reached) == {"10.0.0.2:80", "10.0.0.4:80"}
 
 
-def test_calls_that_wait_are_not_sent_to_a_zone_evacuated_meanwhile() -> None:
-    """Guard against a call that was queued before and placed after."""
+def test_queued_calls_are_not_sent_to_a_zone_evacuated_meanwhile() -> None:
+    """Guard against a call queued before the evacuation and sent after it."""
     found = balancer(NEAR, FAR)
     busy = {}
     for _ in range(6):
@@ -165,7 +167,7 @@
 
 
 def test_service_without_another_zone_refuses_at_once() -> None:
-    """Guard against calls that wait for an evacuated zone to come back."""
+    """Guard against calls queued until an evacuation ends."""
     found = balancer(NEAR, NEAR)
     sent = 0
     for _ in range(8):
@@ -189,8 +191,8 @@
     assert not [one for one in actions if isinstance(one, Refuse)]
 
 
-def test_older_word_takes_nothing_back() -> None:
-    """Guard against a replica that wakes up with what it knew before."""
+def test_older_update_is_ignored() -> None:
+    """Guard against a replica that resumes with an outdated list."""
     found = balancer(NEAR, FAR)
     found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
     found.apply_evacuations(EvacuationUpdate(5, []), 0.1)
@@ -199,8 +201,8 @@
     assert [one.endpoint for one in sends(actions)] == ["10.0.0.2:80"]
 
 
-def test_service_that_is_declared_later_heeds_what_is_evacuated() -> None:
-    """Guard against a change of the configuration that opens a zone."""
+def test_evacuations_apply_to_a_service_declared_later() -> None:
+    """Guard against a configuration change that ends an evacuation."""
     found = balancer(NEAR, FAR)
     found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
     found.configure({}, 0.1)
@@ -211,8 +213,8 @@
     assert [one.endpoint for one in sends(actions)] == ["10.0.0.2:80"]
 
 
-def test_callers_are_sent_to_entries_beside_endpoints() -> None:
-    """Guard against entries all of whose calls go between zones."""
+def test_callers_get_entries_outside_evacuated_zones() -> None:
+    """Guard against entries whose calls all cross zones."""
     entries = [
         EntryInfo(f"entry-{number}", f"10.1.0.{number}:80", zone)
         for number, zone in enumerate([NEAR, NEAR, NEAR, FAR, FAR])
