--- a/packages/core/nutmegchute_core/probe_shares.py
+++ b/packages/core/nutmegchute_core/probe_shares.py
@@ -1,23 +1,23 @@
-"""Divide what all entries may ask of endpoints by what each has to place.
+"""Divide the budget of load queries among entries by their call rates.
 
-Zones have unequal shares of the callers, and so entries of the calls. With
-equal shares of the questions the entries of a crowded zone run out of them
-while those of others leave most of theirs unused.
+Zones have unequal shares of the callers, and so have entries of the calls.
+With equal shares of the budget the entries of a crowded zone exhaust theirs
+while the others leave most of theirs unused.
 """
 
 from math import exp
 
-# How far back calls count: a burst shows within seconds, and the rate of an
-# entry with few calls is still a rate.
+# Time constant of the call rate: short enough to show a burst within seconds,
+# long enough for a steady rate at an entry with few calls.
 RATE_WINDOW_S = 3.0
-# Of the questions this much is divided equally: an entry that has had no
-# calls yet must be able to ask for its first ones. What an entry told is a
-# question's hold old at most.
+# Part of the budget that is divided equally: an entry without calls so far
+# must be able to query for its first ones. Reported rates are at most one
+# hold of a watch old.
 EQUAL_SHARE = 0.2
 
 
 class CallRate:
-    """Follow how many calls a second come; older ones fade."""
+    """Track the calls per second, with exponential decay."""
 
     __slots__ = ("_at", "_sum")
 
@@ -27,48 +27,48 @@
 
     def count(self, now: float) -> None:
         """Count a call."""
-        self._fade(now)
+        self._decay(now)
         self._sum += 1.0
 
     def per_s(self, now: float) -> float:
-        """Give the calls a second."""
-        self._fade(now)
+        """Return the calls per second."""
+        self._decay(now)
         return self._sum / RATE_WINDOW_S
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         self._sum *= exp((self._at - now) / RATE_WINDOW_S)
         self._at = now
 
 
 class ProbeShare:
-    """Say, on an entry, which share of the questions is its own.
+    """Compute an entry's share of the budget of load queries.
 
-    Control replicas add up what entries tell of their calls. The share
-    rests on what this entry told, which is in the sum, and on the sum that
-    its replica gave last; ``entries`` must never be too low. So the shares
-    of all entries come to one, but for what changed within a hold.
+    Control replicas add up the call rates that entries report. The share is
+    the rate that this entry reported, which is part of the sum, over the
+    sum that its replica sent last; ``entries`` must never be too low. So
+    the shares of all entries add up to one, but for changes within a hold.
 
-    A replica that has just started has heard of a few entries only. Taken as
-    it is, its sum would give the first entry that asks nearly all of the
-    questions; entries not in it are held to have as many calls as others.
+    A replica that has just started knows a few entries only, and its sum
+    would give the first of them nearly the whole budget. So entries missing
+    from the sum are assumed to have as many calls as the others.
     """
 
     __slots__ = ("_counted", "_total", "reported")
 
     def __init__(self) -> None:
-        # Calls a second, as told last.
+        # Calls per second, as last reported.
         self.reported = 0.0
         self._total = 0.0
-        # How many entries are in the sum.
+        # Number of entries in the sum.
         self._counted = 1
 
     def set_total(self, total: float, entries: int) -> None:
-        """Take the calls a second that the replica has heard of in all."""
+        """Set the sum of call rates and the number of entries in it."""
         self._total = total
         self._counted = max(1, entries)
 
     def share(self, entries: int) -> float:
-        """Give this entry's share of the questions, from 0 to 1."""
+        """Return this entry's share of the budget, from 0 to 1."""
         equal = 1.0 / max(1, entries)
         total = self._total * max(1.0, entries / self._counted)
         if total <= 0.0 or self.reported > total:
--- a/packages/core/nutmegchute_core/replica_choosers.py
+++ b/packages/core/nutmegchute_core/replica_choosers.py
@@ -1,29 +1,30 @@
-"""Choose, on an entry, the control replica that it asks."""
+"""Choose, on an entry, the control replica that it watches."""
 
 import xxhash
 
 from .sessions import ReplicaInfo
 
-# A replica that did not answer, or is out of contact with the others, is
-# asked again after so long, if another can be asked meanwhile. A replica is
-# back within a second of a restart; asked by 60 entries at this pace it has
-# 30 questions a second more.
+# How long a replica that did not reply, or is out of contact with the others,
+# is avoided while another can be watched. A replica restarts within a second;
+# retries of 60 entries at this interval cost it 30 requests a second.
 AVOID_S = 2.0
 
 
 class ReplicaChooser:
-    """Order the replicas and remember which are of no use now.
+    """Order the replicas and back off from those that fail.
 
-    Replicas of the entry's availability zone go first: a question between
-    zones is dear. Entries of a zone spread over the replicas by name.
+    Replicas of the entry's availability zone come first: traffic between
+    zones is expensive. The entries of a zone spread over the replicas by a
+    hash of their names.
 
-    Of the seeds no zone is known. Those whose address begins as the entry's
-    ``own`` does go first: networks give neighbours such addresses. Where a
-    deployment does not, it costs an entry one question more at its start.
+    The zones of seeds are unknown. Seeds that share the longest address
+    prefix with the entry's ``own`` come first, as networks usually assign
+    such addresses within a zone. Where they do not, an entry sends one more
+    request at its start.
     """
 
     __slots__ = (
-        "_avoid",
+        "_avoided_until",
         "_active",
         "_known",
         "_name",
@@ -40,22 +41,22 @@
         self._zone = zone
         self._seeds = seeds
         self._known: list[ReplicaInfo] = []
-        self._avoid: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         self._active: str | None = None
 
     @property
     def active(self) -> str | None:
-        """Give the replica that answered last and is in contact."""
+        """Return the replica that replied last, in contact with the others."""
         return self._active
 
     @property
     def addresses(self) -> list[str]:
-        """List the replicas, those to ask first in front."""
+        """Return the replicas in order of preference."""
         zones = {one.address: one.availability_zone for one in self._known}
         if not zones:
             return sorted(
                 self._seeds,
-                key=lambda one: (-self._likeness(one), self._rank(one)),
+                key=lambda one: (-self._shared_prefix(one), self._rank(one)),
             )
         return sorted(
             zones,
@@ -63,60 +64,60 @@
         )
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Take other seeds, from settings that have changed."""
+        """Replace the seeds by those of changed settings."""
         self._seeds = seeds
-        # Those known may all be gone by now; the seeds know the others.
+        # All known replicas may be gone by now; the seeds know the new ones.
         known = {one.address for one in self._known}
         for address in seeds:
             if self._known and address not in known:
                 self._known.append(ReplicaInfo(address, ""))
 
     def update(self, replicas: list[ReplicaInfo]) -> None:
-        """Take the replicas that the group consists of now."""
+        """Replace the replicas by the present members of the group."""
         self._known = replicas
         if self._active not in self.addresses:
             self._active = None
-        for address in list(self._avoid):
+        for address in list(self._avoided_until):
             if address not in self.addresses:
-                del self._avoid[address]
+                del self._avoided_until[address]
 
     def choose(self, now: float) -> str:
-        """Return the replica to ask next.
+        """Return the replica to send the next request to.
 
-        Where it is not the home, it is one that would be better: it is
-        asked without a hold, and becomes the home if it is in contact.
+        If it is not the active one, it precedes that one or none is active.
+        It is probed without a hold and becomes active if it is in contact.
         """
         best: str | None = None
         for address in self.addresses:
             if address == self._active:
                 return address
-            until = self._avoid.get(address, 0.0)
+            until = self._avoided_until.get(address, 0.0)
             if until <= now:
                 return address
-            if best is None or until < self._avoid[best]:
+            if best is None or until < self._avoided_until[best]:
                 best = address
         assert best is not None
         return best
 
     def record_answer(self, address: str, current: bool, now: float) -> None:
-        """Take word that a replica answered, and whether in contact."""
+        """Record a reply; ``current`` says that the replica is in contact."""
         if current:
-            self._avoid.pop(address, None)
+            self._avoided_until.pop(address, None)
             self._active = address
             return
-        self._drop(address, now)
+        self._back_off(address, now)
 
     def record_failure(self, address: str, now: float) -> None:
-        """Take word that a replica did not answer."""
-        self._drop(address, now)
+        """Record that a replica did not reply."""
+        self._back_off(address, now)
 
-    def _drop(self, address: str, now: float) -> None:
-        self._avoid[address] = now + AVOID_S
+    def _back_off(self, address: str, now: float) -> None:
+        self._avoided_until[address] = now + AVOID_S
         if self._active == address:
             self._active = None
 
-    def _likeness(self, address: str) -> int:
-        """Count the leading numbers that an address shares with the own."""
+    def _shared_prefix(self, address: str) -> int:
+        """Count the leading address parts shared with the own address."""
         shared = 0
         for one, other in zip(
             address.split("."), self._own.split("."), strict=False
--- a/tests/test_probe_shares.py
+++ b/tests/test_probe_shares.py
@@ -1,4 +1,4 @@
-"""Divide the questions to endpoints by what entries have to place."""
+"""Test how entries divide the budget of load queries."""
 
 import pytest
 from nutmegchute_core.probe_shares import CallRate
@@ -7,7 +7,7 @@
 
 
 def test_rate_follows_calls() -> None:
-    """Come to the true rate within some seconds, and down again."""
+    """Converge to the true rate within seconds, and decay again."""
     rate = CallRate()
     for number in range(400):
         rate.count(number / 20)
@@ -15,12 +15,12 @@
     assert rate.per_s(20.0 + 5 * RATE_WINDOW_S) < 0.2
 
 
-def test_crowded_entries_get_more_of_the_questions() -> None:
-    """Give three entries that have half of the calls nearly half.
+def test_busy_entries_get_a_larger_share() -> None:
+    """Give three entries with half of the calls nearly half of the budget.
 
     One zone has three entries and half of all callers, the others have
-    eleven. With equal shares the three would ask twice a call and send the
-    rest to endpoints nobody has looked at.
+    eleven entries. With equal shares the three would exhaust theirs and send
+    the remaining calls to endpoints whose load is unknown.
     """
     reported = [30.0] * 3 + [8.2] * 11
     shares = []
@@ -34,8 +34,8 @@
     assert min(shares) > 0.04
 
 
-def test_equal_shares_until_control_has_told() -> None:
-    """Divide by the count where no sum is known, or it lacks this entry."""
+def test_shares_are_equal_without_a_usable_sum() -> None:
+    """Divide by the count if the sum is unknown or lacks this entry."""
     shares = ProbeShare()
     assert shares.share(4) == 0.25
     shares.reported = 10.0
@@ -43,8 +43,8 @@
     assert shares.share(4) == 0.25
 
 
-def test_sum_of_another_replica_replaces_the_one_before() -> None:
-    """Follow the replica that is asked now."""
+def test_sum_of_another_replica_replaces_the_last() -> None:
+    """Use the sum of the replica that is watched now."""
     shares = ProbeShare()
     shares.reported = 10.0
     shares.set_total(1000.0, 2)
@@ -52,12 +52,12 @@
     assert shares.share(2) == pytest.approx(0.5)
 
 
-def test_replica_that_knows_few_entries_gives_nobody_more() -> None:
-    """Keep the shares of all entries at one while control starts anew.
+def test_partial_sum_of_a_restarted_replica_enlarges_no_share() -> None:
+    """Keep the sum of all shares at one while the control replicas restart.
 
-    All replicas are killed and come back. The first entry that asks is the
-    only one in their sums; with nearly all of the questions for it, and then
-    for the next, endpoints would be asked far more than is allowed.
+    All replicas restart, and the first entry that sends a watch is the only
+    one in their sums. If it, and then the next one, took nearly the whole
+    budget, endpoints would receive far more load queries than allowed.
     """
     shares = ProbeShare()
     shares.reported = 30.0
--- a/tests/test_replica_choosers.py
+++ b/tests/test_replica_choosers.py
@@ -1,4 +1,4 @@
-"""Choose the control replica that an entry asks."""
+"""Test the choice of the control replica that an entry watches."""
 
 from nutmegchute_core.replica_choosers import AVOID_S
 from nutmegchute_core.replica_choosers import ReplicaChooser
@@ -9,8 +9,8 @@
 OTHER = ReplicaInfo("10.3.0.1:7000", "cusco")
 
 
-def at_home() -> ReplicaChooser:
-    """Know three replicas and ask the near one."""
+def build_chooser() -> ReplicaChooser:
+    """Build a chooser of three replicas with the near one active."""
     found = ReplicaChooser("r1", "surco", [FAR.address])
     assert found.choose(0.0) == FAR.address
     found.record_answer(FAR.address, True, 0.0)
@@ -20,17 +20,17 @@
     return found
 
 
-def test_replica_of_the_zone_is_asked_first() -> None:
-    """Move to the replica of the own zone once it is known."""
-    assert at_home().active == NEAR.address
+def test_replica_of_the_zone_is_preferred() -> None:
+    """Switch to the replica of the own zone once it is known."""
+    assert build_chooser().active == NEAR.address
 
 
-def test_seed_with_a_like_address_is_asked_first() -> None:
-    """Begin with the seed that is most likely of the own zone.
+def test_seed_with_a_similar_address_is_preferred() -> None:
+    """Begin with the seed that is probably in the own zone.
 
-    After a loss of power every entry asks a seed. One of another zone tells
-    it where to ask, and a replica that has just started has two connections
-    to take for each entry.
+    After a power failure every entry contacts a seed. A seed of another zone
+    refers it elsewhere, and the replicas, which have just started, accept
+    two connections per entry instead of one.
     """
     seeds = ["10.1.0.9:7000", "10.2.0.4:7000", "10.3.0.8:7000"]
     for number in range(9):
@@ -40,13 +40,13 @@
         assert found.choose(0.0) in (seeds[0], seeds[2])
 
 
-def test_another_replica_is_asked_when_the_home_is_silent() -> None:
-    """Ask another replica at once, and the near one again when it is back.
+def test_another_replica_is_chosen_when_the_active_one_fails() -> None:
+    """Switch to another replica at once, and back when the near one replies.
 
-    The home freezes. Its entries must not go on by what it told last: an
-    endpoint that leaves is acknowledged two seconds later without them.
+    The active replica freezes. Its entries must not rely on its last reply:
+    drains are acknowledged without them two seconds later.
     """
-    found = at_home()
+    found = build_chooser()
     found.record_failure(NEAR.address, 1.0)
     assert found.active is None
     second = found.choose(1.0)
@@ -57,21 +57,21 @@
     assert found.active == second
 
 
-def test_replica_out_of_contact_is_left() -> None:
-    """Leave a home that answers but hears no majority.
+def test_replica_out_of_contact_is_avoided() -> None:
+    """Avoid a replica that replies but has no contact with a majority.
 
-    It is cut off from the other replicas and knows neither who leaves nor
-    the newest configuration.
+    It is partitioned from the other replicas and lacks drains and the newest
+    configuration.
     """
-    found = at_home()
+    found = build_chooser()
     found.record_answer(NEAR.address, False, 1.0)
     assert found.active is None
     assert found.choose(1.0) != NEAR.address
 
 
-def test_all_are_asked_in_turn_while_none_is_of_use() -> None:
-    """Ask each replica again and again while control is lost."""
-    found = at_home()
+def test_all_replicas_are_tried_in_turn_while_all_fail() -> None:
+    """Retry each replica in turn while all of them are down."""
+    found = build_chooser()
     asked = []
     for number in range(6):
         address = found.choose(1.0 + number / 10)
@@ -81,8 +81,8 @@
     assert len(set(asked)) == 3
 
 
-def test_entries_of_a_zone_without_replica_spread() -> None:
-    """Divide the entries of a zone among the replicas of others."""
+def test_entries_of_a_zone_without_replica_are_spread() -> None:
+    """Spread the entries of a zone over the replicas of other zones."""
     counts: dict[str, int] = {}
     for number in range(60):
         found = ReplicaChooser(f"r{number}", "piura", [])
@@ -93,16 +93,16 @@
     assert min(counts.values()) >= 10
 
 
-def test_replica_that_was_removed_is_not_asked() -> None:
-    """Forget a home that does not belong to the group any more."""
-    found = at_home()
+def test_removed_replica_is_not_chosen() -> None:
+    """Drop an active replica that is no longer a member of the group."""
+    found = build_chooser()
     found.update([FAR, OTHER])
     assert found.active is None
     assert found.choose(1.0) != NEAR.address
 
 
-def test_other_seeds_are_tried_beside_the_replicas_known() -> None:
-    """Find a group that was replaced while this entry was cut off."""
-    found = at_home()
+def test_new_seeds_are_tried_along_with_known_replicas() -> None:
+    """Find a group that was replaced while this entry was partitioned."""
+    found = build_chooser()
     found.set_seeds(["10.9.0.1:7000"])
     assert "10.9.0.1:7000" in found.addresses
