--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -1,4 +1,4 @@
-"""Cause the failures that membership must withstand."""
+"""Test membership by leases and gossip under faults."""
 
 from collections.abc import Callable
 
@@ -33,7 +33,7 @@
 
 
 def exchange(one: Roster, other: Roster, now: float) -> GossipMessage:
-    """Let "one" ask "other", both hearing; return the answer."""
+    """Exchange messages between both, begun by "one"; return the reply."""
     other.receive("one", one.build_message("other", now), now)
     answer = other.build_message("one", now)
     one.receive("other", answer, now)
@@ -41,21 +41,23 @@
 
 
 def up_at(members: Roster, now: float) -> list[str]:
-    """List the endpoints that new work may go to."""
+    """List the endpoints that may receive new calls."""
     return [one.endpoint for one in members.live(now) if one.state != DRAINING]
 
 
 @pytest.fixture
 def pair() -> tuple[Roster, Roster]:
-    """Give two entries that know each other."""
+    """Return two entries that have exchanged messages."""
     one, other = Roster(1000), Roster(2000)
     for _ in range(3):
         exchange(one, other, 0.0)
     return one, other
 
 
-def test_rest_costs_no_announcements(pair: tuple[Roster, Roster]) -> None:
-    """Send nothing per endpoint while nothing changes."""
+def test_unchanged_sets_send_no_announcements(
+    pair: tuple[Roster, Roster],
+) -> None:
+    """Send no announcement while nothing changes."""
     one, other = pair
     for number in range(150):
         other.announce(announcement(f"10.0.0.1:{number + 1}"), 0.1)
@@ -63,16 +65,17 @@
     assert len(up_at(one, 0.1)) == 150
     for number in range(150):
         other.announce(announcement(f"10.0.0.1:{number + 1}"), 0.5)
-    vouch = exchange(one, other, 0.6)
-    assert (vouch.changed, vouch.removed) == ([], [])
+    message = exchange(one, other, 0.6)
+    assert (message.changed, message.removed) == ([], [])
 
 
-def test_drain_leaves_no_way_back(pair: tuple[Roster, Roster]) -> None:
-    """Hold a drained endpoint down when a late "up" arrives.
+def test_drained_endpoint_stays_drained(pair: tuple[Roster, Roster]) -> None:
+    """Keep an endpoint drained when a late "up" arrives.
 
     An endpoint announces itself to one entry, moves to another and drains
-    there. The first entry still vouches for it, and a copy of its first
-    announcement arrives late. New work would go to a leaving upstream.
+    there. The first entry still holds its lease, and a copy of its first
+    announcement arrives late. Accepted, it would direct new calls to an
+    upstream that is leaving.
     """
     one, other = pair
     one.announce(announcement(A), 0.1)
@@ -82,7 +85,7 @@
     one.announce(announcement(A), 0.4)
     exchange(one, other, 0.5)
     assert up_at(one, 0.5) == up_at(other, 0.5) == []
-    # All that said "draining" has lapsed; only the floor remembers it.
+    # Every "draining" lease has expired; only the floor keeps the state.
     for now in (1.4, 2.4, 3.4, 4.4):
         one.expire(now)
         exchange(one, other, now)
@@ -96,14 +99,14 @@
     assert up_at(one, 5.2) == up_at(other, 5.2) == [A]
 
 
-def test_delayed_word_brings_nothing_back(
+def test_delayed_message_restores_nothing(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Ignore a word that was under way while its endpoint left.
+    """Ignore a message delayed until its endpoint has left.
 
-    The word says "up"; the lease lapses, a later word removes the
-    endpoint, then the first arrives again. It answers a mark of ours that
-    is older than the last one answered, so it is known to be old.
+    The message says "up"; the lease expires, a later message removes the
+    endpoint, then the first arrives again. It acknowledges an older sequence
+    than the last message did and is thus stale.
     """
     one, other = pair
     other.announce(announcement(A), 0.1)
@@ -115,10 +118,10 @@
     assert up_at(one, LEASE_S + 0.4) == []
 
 
-def test_word_of_an_earlier_run_is_ignored(
+def test_message_of_an_earlier_run_is_ignored(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Ignore a word that a restarted entry had sent before its end."""
+    """Ignore a message that an entry sent before it restarted."""
     one, other = pair
     other.announce(announcement(A), 0.1)
     one.build_message("other", 0.1)
@@ -130,11 +133,11 @@
     assert up_at(one, 1.2) == []
 
 
-def test_silent_cut_ends_in_no_new_work(pair: tuple[Roster, Roster]) -> None:
-    """Stop using what a cut-off entry vouched for, on both sides.
+def test_partition_ends_new_calls(pair: tuple[Roster, Roster]) -> None:
+    """Stop using the set of a partitioned entry.
 
-    No word passes; each side cannot know whether the other's endpoints
-    drained. The caller would be sent to an upstream that has left.
+    Without messages an entry cannot know whether the other's endpoints have
+    drained. Calls would be sent to an upstream that has left.
     """
     one, other = pair
     other.announce(announcement(A), 0.1)
@@ -144,10 +147,10 @@
     assert up_at(one, GOSSIP_LEASE_S + 0.2) == []
 
 
-def test_an_entry_that_died_is_replaced_by_the_next(
+def test_endpoint_of_a_dead_entry_moves_to_another(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Keep an endpoint that moves on when its entry dies."""
+    """Keep an endpoint that announces to another when its entry dies."""
     one, other = pair
     other.announce(announcement(A), 0.1)
     exchange(one, other, 0.1)
@@ -161,7 +164,7 @@
 
 
 def test_restart_on_the_same_address(pair: tuple[Roster, Roster]) -> None:
-    """Prefer the newer process; refuse the older one's late words."""
+    """Prefer the newer process; refuse late announcements of the older."""
     one, other = pair
     other.announce(announcement(A, incarnation=7, slots=2), 0.1)
     exchange(one, other, 0.1)
@@ -174,11 +177,11 @@
         assert members.floor(old.key) == 8
 
 
-def test_wrong_clock_is_named_and_forgotten() -> None:
-    """Refuse a lower incarnation, name the floor, forget it in time.
+def test_incarnation_floor_is_reported_and_expires() -> None:
+    """Refuse a lower incarnation until the floor expires.
 
-    An endpoint numbers its runs by a clock that was set back. The answer
-    names the number to beat; after FLOOR_S it is taken as it is.
+    An endpoint derives its incarnation from a clock that was set back. It
+    is refused as stale, and accepted after FLOOR_S.
     """
     members = Roster(1)
     members.announce(announcement(A, incarnation=10**9), 0.0)
@@ -192,11 +195,12 @@
     assert members.announce(low, now + 0.5) == CHANGED
 
 
-def test_a_paused_entry_asks_again() -> None:
-    """Take no announcement that may have waited through a pause.
+def test_paused_entry_refuses_announcements() -> None:
+    """Refuse announcements that may have been queued during a pause.
 
-    The process is stopped, its socket keeps an "up"; the endpoint drains
-    elsewhere and leaves. Woken, the entry would vouch for it afresh.
+    The process is suspended while its socket holds an "up"; the endpoint
+    drains at another entry and leaves. Resumed, the entry would renew its
+    lease.
     """
     members = Roster(1)
     members.expire(0.0)
@@ -205,8 +209,8 @@
     assert members.announce(announcement(A), 10.0 + QUIET_S) == CHANGED
 
 
-def test_a_wrong_digest_is_mended(pair: tuple[Roster, Roster]) -> None:
-    """Fetch the whole set when the digest does not fit."""
+def test_wrong_digest_is_repaired(pair: tuple[Roster, Roster]) -> None:
+    """Fetch the whole set when the digests differ."""
     one, other = pair
     other.announce(announcement(A), 0.1)
     exchange(one, other, 0.1)
@@ -217,10 +221,10 @@
     assert up_at(one, 0.3) == [A]
 
 
-def test_more_changes_than_are_remembered(
+def test_more_changes_than_are_kept(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Send the whole set when the peer is too far behind."""
+    """Send the whole set when the peer lags too far."""
     one, other = pair
     for number in range(MAX_CHANGES + 5):
         other.announce(announcement(f"10.0.0.1:{number + 1}"), 0.1)
@@ -230,7 +234,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    """Refuse endpoints, peers and floors above the caps."""
+    """Bound the number of endpoints, peers and floors."""
     members = Roster(1)
     for number in range(MAX_ENDPOINTS):
         address = f"10.0.{number // 1000}.1:{number + 1}"
@@ -257,7 +261,7 @@
 
 
 class Endpoint:
-    """Hold what the oracle knows of one upstream."""
+    """Hold the true state of one upstream."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -268,7 +272,7 @@
         self.announced_at = -1.0
 
     def announcement(self) -> Announcement:
-        """Build its present announcement."""
+        """Build the current announcement."""
         state = DRAINING if self.state == DRAINING else UP
         return announcement(
             self.address, incarnation=self.incarnation, state=state
@@ -278,9 +282,9 @@
 class Fleet(RuleBasedStateMachine):
     """Run three entries and four endpoints on virtual time.
 
-    Clocks differ in offset and rate; words are lost, doubled, reordered
-    and delayed; links are cut; entries restart; endpoints move, drain,
-    fall silent and come back. The oracle knows only what each endpoint
+    Clocks differ in offset and rate; messages are lost, duplicated,
+    reordered and delayed; links are cut; entries restart; endpoints move,
+    drain, fall silent and return. The oracle knows only what each endpoint
     did and when.
     """
 
@@ -290,7 +294,7 @@
         )
     )
     def start(self, rates: list[float]) -> None:
-        """Start the entries with clocks of their own."""
+        """Start the entries, each with its own clock."""
         self.now = 0.0
         self.step = 0
         self.epoch = 1
@@ -306,17 +310,17 @@
         self.restarted = dict.fromkeys(ENTRIES, 0.0)
 
     def fresh(self) -> Roster:
-        """Build an entry as after a start."""
+        """Build an entry that has just started."""
         self.epoch += 1000000
         return Roster(self.epoch)
 
     def clock(self, name: str) -> float:
-        """Give an entry's own time."""
+        """Return the time by an entry's clock."""
         offset, rate = self.clocks[name]
         return offset + self.now * rate
 
     def run(self, steps: int, lossy: bool = False) -> None:
-        """Let time pass with announcements and gossip."""
+        """Advance the time with announcements and gossip."""
         for _ in range(steps):
             self.now += STEP_S
             self.step += 1
@@ -331,30 +335,30 @@
             self.check()
 
     def announce_all(self) -> None:
-        """Let every endpoint that is not silent announce itself."""
+        """Announce every endpoint that is not silent."""
         for endpoint in self.endpoints:
             if endpoint.state in ("absent", "silent"):
                 continue
             home = self.entries[endpoint.home]
-            word = endpoint.announcement()
-            outcome = home.announce(word, self.clock(endpoint.home))
+            found = endpoint.announcement()
+            outcome = home.announce(found, self.clock(endpoint.home))
             assert outcome in (RENEWED, CHANGED)
             endpoint.announced_at = self.now
             if len(self.late) < 8:
-                self.keep_late(endpoint.home, word)
+                self.keep_late(endpoint.home, found)
 
-    def keep_late(self, home: str, word: Announcement) -> None:
+    def keep_late(self, home: str, found: Announcement) -> None:
         """Keep a copy of an announcement for up to two seconds."""
         sent_at = self.now
 
         def arrive() -> None:
             if self.now - sent_at <= LATE_S:
-                self.entries[home].announce(word, self.clock(home))
+                self.entries[home].announce(found, self.clock(home))
 
         self.late.append(arrive)
 
     def gossip_all(self) -> None:
-        """Let every pair that is not cut exchange words."""
+        """Exchange messages between every connected pair."""
         if self.step % GOSSIP_STEPS:
             return
         for place, one in enumerate(ENTRIES):
@@ -363,33 +367,33 @@
                     self.exchange(one, other)
 
     def exchange(self, one: str, other: str, answered: bool = True) -> None:
-        """Let one entry ask another; keep copies for a late arrival."""
+        """Exchange messages of two entries; keep copies to deliver late."""
         asked = self.entries[one].build_message(other, self.clock(one))
-        self.tell(other, one, asked)
+        self.deliver(other, one, asked)
         answer = self.entries[other].build_message(one, self.clock(other))
         if answered:
-            self.tell(one, other, answer)
+            self.deliver(one, other, answer)
         if len(self.late) < 24:
-            self.late.append(lambda: self.tell(other, one, asked))
-            self.late.append(lambda: self.tell(one, other, answer))
+            self.late.append(lambda: self.deliver(other, one, asked))
+            self.late.append(lambda: self.deliver(one, other, answer))
 
-    def tell(self, to: str, source: str, vouch: GossipMessage) -> None:
-        """Deliver a word."""
-        self.entries[to].receive(source, vouch, self.clock(to))
+    def deliver(self, to: str, source: str, message: GossipMessage) -> None:
+        """Deliver a message."""
+        self.entries[to].receive(source, message, self.clock(to))
 
     @rule(steps=st.integers(1, 40))
     def pass_time(self, steps: int) -> None:
-        """Let everything run."""
+        """Run without faults."""
         self.run(steps)
 
     @rule(steps=st.integers(1, 40))
-    def lose_words(self, steps: int) -> None:
-        """Lose every word for a while."""
+    def lose_messages(self, steps: int) -> None:
+        """Lose every message for a while."""
         self.run(steps, lossy=True)
 
     @rule(place=st.integers(0, 3), home=st.sampled_from(ENTRIES))
     def arrive(self, place: int, home: str) -> None:
-        """Start an endpoint, or start it again on its address."""
+        """Start an endpoint, or restart it at its address."""
         endpoint = self.endpoints[place]
         endpoint.incarnation += 1
         endpoint.home = home
@@ -397,18 +401,18 @@
 
     @rule(place=st.integers(0, 3), home=st.sampled_from(ENTRIES))
     def move(self, place: int, home: str) -> None:
-        """Let an endpoint announce to another entry from now on."""
+        """Move an endpoint to another entry."""
         self.endpoints[place].home = home
         self.calm_since = self.now
 
-    @rule(place=st.integers(0, 3), told=st.booleans())
-    def drain(self, place: int, told: bool) -> None:
-        """Let an endpoint announce that it leaves."""
+    @rule(place=st.integers(0, 3), announced=st.booleans())
+    def drain(self, place: int, announced: bool) -> None:
+        """Drain an endpoint."""
         endpoint = self.endpoints[place]
         if endpoint.state != UP:
             return
         self.set_state(endpoint, DRAINING)
-        if told:
+        if announced:
             self.announce_all()
 
     @rule(place=st.integers(0, 3))
@@ -426,14 +430,14 @@
 
     @rule(name=st.sampled_from(ENTRIES))
     def restart_entry(self, name: str) -> None:
-        """Lose all that an entry knows."""
+        """Restart an entry with an empty state."""
         self.entries[name] = self.fresh()
         self.restarted[name] = self.now
         self.calm_since = self.now
 
     @rule(count=st.integers(1, 24), backwards=st.booleans())
     def deliver_late(self, count: int, backwards: bool) -> None:
-        """Deliver copies of earlier words, in any order."""
+        """Deliver copies of earlier messages, in either order."""
         if backwards:
             self.late.reverse()
         for arrive in self.late[:count]:
@@ -442,12 +446,12 @@
 
     @rule(one=st.sampled_from(ENTRIES), other=st.sampled_from(ENTRIES))
     def half_exchange(self, one: str, other: str) -> None:
-        """Lose the answer of one exchange."""
+        """Lose the reply of one exchange."""
         if one != other and frozenset((one, other)) not in self.cut:
             self.exchange(one, other, answered=False)
 
     def set_state(self, endpoint: Endpoint, state: str) -> None:
-        """Note what an endpoint does from now on."""
+        """Set the state of an endpoint."""
         endpoint.state = state
         endpoint.since = self.now
         self.calm_since = self.now
@@ -462,7 +466,7 @@
                 self.check_one(endpoint, views.get(endpoint.address))
 
     def check_one(self, endpoint: Endpoint, view: Announcement | None) -> None:
-        """Judge what one entry thinks of one endpoint."""
+        """Check one entry's view of one endpoint."""
         usable = view is not None and view.state == UP
         waited = self.now - endpoint.since
         calm = self.now - self.calm_since
