--- a/packages/core/nutmegchute_core/admissions.py
+++ b/packages/core/nutmegchute_core/admissions.py
@@ -12,14 +12,17 @@
 
 # A namesake that introduces itself under a new identity proves that the old
 # identity's disk is gone; this only rules out words that were under way.
-NAMESAKE_SILENT_S = 1.0
+REPLACED_SILENT_S = 1.0
 # Endpoints and routers are sent to every member. One that comes back later
 # introduces itself anew.
-REMOVED_SILENT_S = 5.0
+LEARNER_SILENT_S = 5.0
 
 
 def due_change(
-    replica: Replica, waiting: dict[str, Member], now: float, listed: bool
+    replica: Replica,
+    pending: dict[str, Member],
+    now: float,
+    operator_managed: bool,
 ) -> MembershipChange | None:
     """Return the next change that a leader should make, if one is due."""
     silent_s = {}
@@ -27,14 +30,14 @@
         last_contact_at = replica.last_contact_at(member.identity)
         if last_contact_at is not None:
             silent_s[member.identity] = now - last_contact_at
-    return next_change(replica.membership, waiting, silent_s, listed)
+    return next_change(replica.membership, pending, silent_s, operator_managed)
 
 
 def next_change(
     membership: Membership,
-    waiting: dict[str, Member],
+    pending: dict[str, Member],
     silent_s: dict[str, float],
-    listed: bool = False,
+    operator_managed: bool = False,
 ) -> MembershipChange | None:
     """Return the next change of the membership, if one is due.
 
@@ -44,19 +47,19 @@
     operator lists the replicas, ``listed``, only an operator brings names
     in or leaves them out.
     """
-    for name in sorted(waiting):
+    for name in sorted(pending):
         old = membership.named(name)
         if old is None:
-            if listed:
+            if operator_managed:
                 continue
             return MembershipChange("add", name)
-        if silent_s.get(old.identity, 0.0) >= NAMESAKE_SILENT_S:
+        if silent_s.get(old.identity, 0.0) >= REPLACED_SILENT_S:
             return MembershipChange("replace", name)
-    if listed:
+    if operator_managed:
         return None
     for member in membership.members:
         if member.voter:
             continue
-        if silent_s.get(member.identity, 0.0) >= REMOVED_SILENT_S:
+        if silent_s.get(member.identity, 0.0) >= LEARNER_SILENT_S:
             return MembershipChange("remove", member.name)
     return None
--- a/packages/core/nutmegchute_core/errors.py
+++ b/packages/core/nutmegchute_core/errors.py
@@ -8,17 +8,17 @@
 class DeclarationError(CoreError):
     """Say which place of a declaration is wrong and what is allowed."""
 
-    __slots__ = ("_place", "_reason")
+    __slots__ = ("_path", "_reason")
 
-    def __init__(self, place: str, reason: str) -> None:
-        super().__init__(f"{place}: {reason}")
-        self._place = place
+    def __init__(self, path: str, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self._path = path
         self._reason = reason
 
     @property
-    def place(self) -> str:
+    def path(self) -> str:
         """Name the place, as a path from the root of the document."""
-        return self._place
+        return self._path
 
     @property
     def reason(self) -> str:
--- a/packages/core/nutmegchute_core/formations.py
+++ b/packages/core/nutmegchute_core/formations.py
@@ -30,31 +30,31 @@
     says so.
     """
 
-    __slots__ = ("_founders", "_heard", "_own")
+    __slots__ = ("_founders", "_introductions", "_own")
 
     def __init__(self, own: Member, founders: list[str]) -> None:
         self._own = own
         self._founders = founders
-        self._heard: dict[str, Introduction] = {
+        self._introductions: dict[str, Introduction] = {
             own.grpc_address: Introduction(own)
         }
 
     def record(self, introduction: Introduction) -> None:
         """Take another replica's introduction."""
-        self._heard[introduction.member.grpc_address] = introduction
+        self._introductions[introduction.member.grpc_address] = introduction
 
     def result(self) -> Introduction | None:
         """Return the group to form or join, or None while it is open."""
-        for introduction in self._heard.values():
+        for introduction in self._introductions.values():
             if introduction.group is not None:
                 return introduction
         if self._own.grpc_address not in self._founders:
             return None
         members = []
         for address in sorted(self._founders):
-            heard = self._heard.get(address)
-            if heard is None:
+            found = self._introductions.get(address)
+            if found is None:
                 return None
-            members.append(heard.member)
+            members.append(found.member)
         genesis = Membership(members)
         return Introduction(self._own, group_id(genesis), genesis)
--- a/packages/core/nutmegchute_core/installs.py
+++ b/packages/core/nutmegchute_core/incoming_snapshots.py
@@ -3,10 +3,10 @@
 from .messages import InstallRequest
 from .messages import Snapshot
 
-PIECE_BYTES = 256 * 1024
+CHUNK_BYTES = 256 * 1024
 
 
-class Install:
+class IncomingSnapshot:
     """Hold the pieces of one snapshot that have arrived in order."""
 
     __slots__ = ("_data", "_index", "_membership", "_term", "_total")
@@ -25,15 +25,15 @@
 
     def matches(self, request: InstallRequest) -> bool:
         """Tell whether a piece belongs to this snapshot."""
-        mine = (self._index, self._term, self._total)
-        return mine == (request.index, request.snapshot_term, request.total)
+        own = (self._index, self._term, self._total)
+        return own == (request.index, request.snapshot_term, request.total)
 
-    def take(self, request: InstallRequest) -> None:
+    def add_chunk(self, request: InstallRequest) -> None:
         """Take a piece if it is the next; a doubled one changes nothing."""
         if request.offset == len(self._data):
             self._data += request.piece
 
-    def finished(self) -> Snapshot | None:
+    def completed(self) -> Snapshot | None:
         """Return the snapshot once it is whole."""
         if len(self._data) < self._total:
             return None
--- a/packages/core/nutmegchute_core/join_requests.py
+++ b/packages/core/nutmegchute_core/join_requests.py
@@ -5,16 +5,16 @@
 from .memberships import Membership
 
 # A replica that waits introduces itself far more often.
-OUTSIDER_S = 5.0
+JOIN_REQUEST_TTL_S = 5.0
 
 
 class JoinRequests:
     """Hold who introduced itself lately."""
 
-    __slots__ = ("_heard",)
+    __slots__ = ("_requests",)
 
     def __init__(self) -> None:
-        self._heard: dict[str, tuple[Member, float]] = {}
+        self._requests: dict[str, tuple[Member, float]] = {}
 
     def record(self, introduction: Introduction, now: float) -> None:
         """Take an introduction.
@@ -25,13 +25,13 @@
         if introduction.group is None:
             return
         member = introduction.member
-        self._heard[member.name] = (member, now)
+        self._requests[member.name] = (member, now)
 
     def pending(self, membership: Membership, now: float) -> dict[str, Member]:
         """Map names to the replicas that wait to become members."""
         found = {}
-        for name, (member, heard_at) in self._heard.items():
-            if now - heard_at > OUTSIDER_S:
+        for name, (member, received_at) in self._requests.items():
+            if now - received_at > JOIN_REQUEST_TTL_S:
                 continue
             if membership.find(member.identity) is None:
                 found[name] = member
--- a/packages/core/nutmegchute_core/leaderships.py
+++ b/packages/core/nutmegchute_core/leaderships.py
@@ -1,6 +1,6 @@
 """Replicate the log to the others, as long as this replica leads."""
 
-from .installs import PIECE_BYTES
+from .incoming_snapshots import CHUNK_BYTES
 from .logs import Log
 from .memberships import Membership
 from .messages import AppendReply
@@ -13,12 +13,12 @@
 
 # A replica silent for this long counts as lost; also the least time after
 # which a follower that hears no leader asks for votes.
-ELECTION_S = 0.8
+ELECTION_TIMEOUT_S = 0.8
 # A learner that is closer than this to the end of the log may vote.
-CAUGHT_UP = 64
+CAUGHT_UP_ENTRIES = 64
 # A replica that stops says so again and again; one that has started anew in
 # the meantime is not meant any more.
-LEAVING_S = 0.5
+LEAVING_TIMEOUT_S = 0.5
 
 
 class Leadership:
@@ -60,7 +60,7 @@
     def match_index(self, identity: str) -> int | None:
         """Tell how far a replica's log is known to agree."""
         progress = self._peers.get(identity)
-        return progress.match if progress is not None else None
+        return progress.acked_index if progress is not None else None
 
     def track(self, now: float) -> None:
         """Begin to track the members that are new."""
@@ -78,10 +78,10 @@
                 recent += 1
         return recent >= self._log.membership.quorum
 
-    def agreed_index(self) -> int:
+    def quorum_index(self) -> int:
         """Give the last index that a quorum holds."""
-        matches = {one: peer.match for one, peer in self._peers.items()}
-        return self._majority(matches, self._log.last_index)
+        matches = {one: peer.acked_index for one, peer in self._peers.items()}
+        return self._quorum_value(matches, self._log.last_index)
 
     def next_voters(self, now: float) -> Membership | None:
         """Return the membership with other voters, if one is due."""
@@ -92,30 +92,30 @@
             silent_s[identity] = now - peer.last_contact_at
             if now < peer.leaving_until:
                 leaving.add(identity)
-            if not peer.match or not self._is_recent(identity, now):
+            if not peer.acked_index or not self._is_recent(identity, now):
                 continue
-            if peer.match + CAUGHT_UP >= self._log.last_index:
+            if peer.acked_index + CAUGHT_UP_ENTRIES >= self._log.last_index:
                 caught_up.add(identity)
         return next_voters(self._log.membership, silent_s, caught_up, leaving)
 
-    def retire(self, identity: str, now: float) -> None:
+    def mark_leaving(self, identity: str, now: float) -> None:
         """Note that a replica is about to stop."""
         peer = self._peers.get(identity)
         if peer is not None:
-            peer.leaving_until = now + LEAVING_S
+            peer.leaving_until = now + LEAVING_TIMEOUT_S
 
-    def successor(self, commit: int, now: float) -> str | None:
+    def transfer_target(self, commit: int, now: float) -> str | None:
         """Return the voter that has come furthest and has all accepted."""
         best: str | None = None
-        furthest = commit
+        best_index = commit
         for voter in self._log.membership.voters:
-            match = self.match_index(voter)
-            if match is None or match < furthest:
+            acked_index = self.match_index(voter)
+            if acked_index is None or acked_index < best_index:
                 continue
             if not self._is_recent(voter, now):
                 continue
             best = voter
-            furthest = match
+            best_index = acked_index
         return best
 
     def broadcast(self, commit: int) -> list[Message]:
@@ -125,54 +125,58 @@
         members = {one.identity for one in self._log.membership.members}
         for peer in list(self._peers):
             if peer in members:
-                messages.append(self.message_for(peer, commit))
+                messages.append(self.next_message(peer, commit))
             else:
                 del self._peers[peer]
-        self._confirm()
+        self._update_confirmed_round()
         return messages
 
-    def message_for(self, peer: str, commit: int) -> Message:
+    def next_message(self, peer: str, commit: int) -> Message:
         """Give the entries, or the piece of a snapshot, that come next."""
         progress = self._peers[peer]
-        previous_term = self._log.term_at(progress.next - 1)
+        previous_term = self._log.term_at(progress.next_index - 1)
         if previous_term is None or progress.install_offset is not None:
-            return self._piece_for(peer, progress)
-        entries = self._log.batch(progress.next)
+            return self._install_request(peer, progress)
+        entries = self._log.batch(progress.next_index)
         request = AppendRequest(
             source=self._identity,
             target=peer,
             term=self._term,
             round=self._round,
-            previous_index=progress.next - 1,
+            previous_index=progress.next_index - 1,
             previous_term=previous_term,
             entries=entries,
             commit=commit,
         )
-        progress.next += len(entries)
+        progress.next_index += len(entries)
         return request
 
-    def take_append(self, reply: AppendReply, now: float) -> bool:
+    def handle_append_reply(self, reply: AppendReply, now: float) -> bool:
         """Take a reply; tell whether the peer should be sent more."""
-        progress = self._hear(reply, now)
+        progress = self._record_reply(reply, now)
         if progress is None:
             return False
         if not reply.agreed:
-            progress.next = max(progress.match, reply.match_index) + 1
+            progress.next_index = (
+                max(progress.acked_index, reply.match_index) + 1
+            )
             return True
         progress.install_offset = None
-        progress.match = max(progress.match, reply.match_index)
-        progress.next = max(progress.next, progress.match + 1)
-        return progress.next <= self._log.last_index
+        progress.acked_index = max(progress.acked_index, reply.match_index)
+        progress.next_index = max(
+            progress.next_index, progress.acked_index + 1
+        )
+        return progress.next_index <= self._log.last_index
 
-    def take_install(self, reply: InstallReply, now: float) -> bool:
+    def handle_install_reply(self, reply: InstallReply, now: float) -> bool:
         """Take a reply; tell whether the peer should be sent more."""
-        progress = self._hear(reply, now)
+        progress = self._record_reply(reply, now)
         if progress is None:
             return False
         if reply.done:
             progress.install_offset = None
-            progress.match = max(progress.match, reply.index)
-            progress.next = progress.match + 1
+            progress.acked_index = max(progress.acked_index, reply.index)
+            progress.next_index = progress.acked_index + 1
             return True
         if reply.index != self._log.snapshot.index:
             progress.install_offset = 0
@@ -185,7 +189,7 @@
         progress.install_offset = reply.received
         return moved
 
-    def _piece_for(self, peer: str, progress: Progress) -> Message:
+    def _install_request(self, peer: str, progress: Progress) -> Message:
         snapshot = self._log.snapshot
         offset = min(progress.install_offset or 0, len(snapshot.state))
         progress.install_offset = offset
@@ -199,10 +203,10 @@
             membership=snapshot.membership,
             offset=offset,
             total=len(snapshot.state),
-            piece=snapshot.state[offset : offset + PIECE_BYTES],
+            piece=snapshot.state[offset : offset + CHUNK_BYTES],
         )
 
-    def _hear(
+    def _record_reply(
         self, reply: AppendReply | InstallReply, now: float
     ) -> Progress | None:
         progress = self._peers.get(reply.source)
@@ -210,14 +214,14 @@
             return None
         progress.last_contact_at = now
         progress.round = max(progress.round, reply.round)
-        self._confirm()
+        self._update_confirmed_round()
         return progress
 
-    def _confirm(self) -> None:
+    def _update_confirmed_round(self) -> None:
         rounds = {one: peer.round for one, peer in self._peers.items()}
-        self._confirmed_round = self._majority(rounds, self._round)
+        self._confirmed_round = self._quorum_value(rounds, self._round)
 
-    def _majority(self, values: dict[str, int], own: int) -> int:
+    def _quorum_value(self, values: dict[str, int], own: int) -> int:
         voters = self._log.membership.voters
         found = [
             own if voter == self._identity else values.get(voter, 0)
@@ -228,5 +232,6 @@
     def _is_recent(self, identity: str, now: float) -> bool:
         last_contact_at = self.last_contact_at(identity)
         return (
-            last_contact_at is not None and now - last_contact_at <= ELECTION_S
+            last_contact_at is not None
+            and now - last_contact_at <= ELECTION_TIMEOUT_S
         )
--- a/packages/core/nutmegchute_core/logs.py
+++ b/packages/core/nutmegchute_core/logs.py
@@ -7,7 +7,7 @@
 from .messages import LogEntry
 from .messages import Snapshot
 
-BATCH = 256
+BATCH_ENTRIES = 256
 BATCH_BYTES = 1024 * 1024
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -58,7 +58,7 @@
         return self._entries[-1].term if self._entries else self._base_term
 
     @property
-    def bytes_kept(self) -> int:
+    def size_bytes(self) -> int:
         """Give the size of the entries kept."""
         return self._bytes
 
@@ -75,8 +75,8 @@
     def membership_at(self, index: int) -> Membership:
         """Give the membership in force at an index."""
         found = self._memberships[0][1]
-        for place, membership in self._memberships:
-            if place <= index:
+        for entry_index, membership in self._memberships:
+            if entry_index <= index:
                 found = membership
         return found
 
@@ -109,7 +109,7 @@
             one for one in self._memberships if one[0] < index
         ] or self._memberships[:1]
 
-    def between(self, first: int, last: int) -> list[LogEntry]:
+    def entries_between(self, first: int, last: int) -> list[LogEntry]:
         """List the entries from an index to another, both included."""
         start = first - self._base_index - 1
         return self._entries[start : last - self._base_index]
@@ -119,16 +119,16 @@
         start = first - self._base_index - 1
         total = 0
         batch: list[LogEntry] = []
-        for entry in self._entries[start : start + BATCH]:
+        for entry in self._entries[start : start + BATCH_ENTRIES]:
             total += self._sizes[start + len(batch)]
             if batch and total > BATCH_BYTES:
                 break
             batch.append(entry)
         return batch
 
-    def compact(self, snapshot: Snapshot, trail: int) -> None:
+    def compact(self, snapshot: Snapshot, trailing: int) -> None:
         """Let a snapshot stand for the entries, but for a trail."""
-        first = max(self._base_index, snapshot.index - trail)
+        first = max(self._base_index, snapshot.index - trailing)
         term = self.term_at(first)
         assert term is not None
         dropped = first - self._base_index
--- a/packages/core/nutmegchute_core/memberships.py
+++ b/packages/core/nutmegchute_core/memberships.py
@@ -112,7 +112,7 @@
         return f"{self.action} {self.replaces} by {self.name}"
 
     def apply(
-        self, membership: Membership, waiting: dict[str, Member]
+        self, membership: Membership, pending: dict[str, Member]
     ) -> Membership:
         """Return the membership wished for.
 
@@ -122,31 +122,31 @@
             if membership.named(self.name) is None:
                 raise ReconfigurationError(f"no replica is named {self.name}")
             return membership.without(self.name)
-        member = self._find(waiting)
-        gone = self.replaces or self.name
-        present = membership.named(gone) is not None
+        member = self._find_pending(pending)
+        replaced = self.replaces or self.name
+        present = membership.named(replaced) is not None
         if self.action == "add" and present:
-            raise ReconfigurationError(f"{gone} is there; use replace")
+            raise ReconfigurationError(f"{replaced} is there; use replace")
         if self.action == "replace" and not present:
-            raise ReconfigurationError(f"no replica is named {gone}")
-        if gone != self.name and membership.named(self.name) is not None:
+            raise ReconfigurationError(f"no replica is named {replaced}")
+        if replaced != self.name and membership.named(self.name) is not None:
             raise ReconfigurationError(f"{self.name} is there already")
-        return membership.with_learner(member, gone)
+        return membership.with_learner(member, replaced)
 
-    def _find(self, waiting: dict[str, Member]) -> Member:
-        member = waiting.get(self.name)
+    def _find_pending(self, pending: dict[str, Member]) -> Member:
+        member = pending.get(self.name)
         if member is None:
             raise ReconfigurationError(
                 f"{self.name} has not introduced itself lately; start it "
                 "with an empty data folder and this group in its settings"
             )
-        for wished, own in (
+        for requested, own in (
             (self.grpc_address, member.grpc_address),
             (self.http_address, member.http_address),
         ):
-            if wished not in (None, own):
+            if requested not in (None, own):
                 raise ReconfigurationError(
-                    f"{self.name} introduced itself at {own}, not {wished}"
+                    f"{self.name} introduced itself at {own}, not {requested}"
                 )
         return member
 
--- a/packages/core/nutmegchute_core/nodes.py
+++ b/packages/core/nutmegchute_core/nodes.py
@@ -19,7 +19,7 @@
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 # Entries kept behind a snapshot, so that a replica which lags a little is
 # sent entries and not the whole state.
-TRAIL = 500
+TRAILING_ENTRIES = 500
 
 _ENCODER = msgspec.msgpack.Encoder()
 _STATE_DECODER = msgspec.msgpack.Decoder(MachineState)
@@ -124,12 +124,12 @@
     def _compact(self) -> None:
         log = self._replica.log
         entries = self._machine.applied - log.snapshot.index
-        large = log.bytes_kept > SNAPSHOT_BYTES and entries > 0
+        large = log.size_bytes > SNAPSHOT_BYTES and entries > 0
         if entries < SNAPSHOT_ENTRIES and not large:
             return
         state = _ENCODER.encode(self._machine.snapshot())
-        trail = 0 if large else TRAIL
-        self._store.compact(self._replica.compact(state, trail))
+        trailing = 0 if large else TRAILING_ENTRIES
+        self._store.compact(self._replica.compact(state, trailing))
 
     def _restore(self, snapshot: Snapshot) -> None:
         if not snapshot.state:
--- a/packages/core/nutmegchute_core/progress.py
+++ b/packages/core/nutmegchute_core/progress.py
@@ -8,14 +8,14 @@
         "last_contact_at",
         "install_offset",
         "leaving_until",
-        "match",
-        "next",
+        "acked_index",
+        "next_index",
         "round",
     )
 
-    def __init__(self, following: int, now: float) -> None:
-        self.next = following
-        self.match = 0
+    def __init__(self, next_index: int, now: float) -> None:
+        self.next_index = next_index
+        self.acked_index = 0
         self.last_contact_at = now
         self.leaving_until = now
         self.round = 0
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -8,8 +8,8 @@
 from .effects import Effects
 from .errors import NotLeaderError
 from .errors import ReconfigurationError
-from .installs import Install
-from .leaderships import ELECTION_S
+from .incoming_snapshots import IncomingSnapshot
+from .leaderships import ELECTION_TIMEOUT_S
 from .leaderships import Leadership
 from .logs import Log
 from .memberships import Membership
@@ -29,21 +29,21 @@
 from .messages import vote_reply
 from .messages import VoteReply
 from .messages import VoteRequest
-from .voters import LEAST_VOTERS
+from .voters import MIN_VOTERS
 
-ELECTION_SPREAD_S = 0.5
+ELECTION_JITTER_S = 0.5
 # A replica that has heard no leader since its start asks for votes sooner:
 # after a loss of power nobody leads, and every replica waiting as if for a
 # lost leader would keep all entries without a configuration for a second.
 # Where one leads, the others refuse the question. The spread is some times
 # what a vote takes to come back (7 ms on a new connection, a sync besides),
 # so that two seldom ask at once.
-START_ELECTION_S = 0.02
-START_SPREAD_S = 0.1
-HEARTBEAT_S = 0.2
+INITIAL_ELECTION_TIMEOUT_S = 0.02
+INITIAL_ELECTION_JITTER_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.2
 # A follower that has missed the leader's word so often is cut off from it,
 # or the leader is gone.
-CONTACT_S = 5 * HEARTBEAT_S
+LEADER_CONTACT_S = 5 * HEARTBEAT_INTERVAL_S
 
 FOLLOWER = "follower"
 PRECANDIDATE = "precandidate"
@@ -57,25 +57,25 @@
     """Take messages, proposals and time; give effects."""
 
     __slots__ = (
-        "_applied",
+        "_applied_index",
         "_append_due",
-        "_commit",
+        "_commit_index",
         "_election_at",
         "_hard_state",
-        "_heard_any",
-        "_heard_leader_at",
+        "_has_had_leader",
+        "_leader_contact_at",
         "_heartbeat_at",
         "_identity",
-        "_install",
-        "_installed",
+        "_incoming_snapshot",
+        "_installed_snapshot",
         "_leader",
         "_leadership",
         "_log",
         "_messages",
         "_random",
         "_state",
-        "_state_dirty",
-        "_term_start",
+        "_hard_state_dirty",
+        "_term_start_index",
         "_unsaved_from",
         "_votes",
     )
@@ -94,20 +94,20 @@
         self._random = Random(seed)
         self._state = REPLICA_CHART.initial
         self._leader: str | None = None
-        self._commit = log.snapshot.index
-        self._applied = log.snapshot.index
+        self._commit_index = log.snapshot.index
+        self._applied_index = log.snapshot.index
         self._votes: set[str] = set()
         self._leadership: Leadership | None = None
         self._messages: list[Message] = []
-        self._install: Install | None = None
-        self._installed: Snapshot | None = None
+        self._incoming_snapshot: IncomingSnapshot | None = None
+        self._installed_snapshot: Snapshot | None = None
         self._unsaved_from: int | None = None
-        self._state_dirty = False
+        self._hard_state_dirty = False
         self._append_due = False
-        self._term_start = 0
+        self._term_start_index = 0
         self._heartbeat_at = now
-        self._heard_leader_at = now - ELECTION_S
-        self._heard_any = False
+        self._leader_contact_at = now - ELECTION_TIMEOUT_S
+        self._has_had_leader = False
         self._election_at = now
         self._reset_election(now)
 
@@ -134,7 +134,7 @@
     @property
     def commit_index(self) -> int:
         """Give the last index known to be committed."""
-        return self._commit
+        return self._commit_index
 
     @property
     def last_index(self) -> int:
@@ -159,7 +159,10 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether this leader knows all that was committed before."""
-        return self._state == LEADER and self._commit >= self._term_start
+        return (
+            self._state == LEADER
+            and self._commit_index >= self._term_start_index
+        )
 
     @property
     def confirmed_round(self) -> int:
@@ -197,7 +200,7 @@
         if self._leadership is not None:
             return self._leadership.has_quorum(now)
         return self._leader is not None and (
-            now - self._heard_leader_at <= CONTACT_S
+            now - self._leader_contact_at <= LEADER_CONTACT_S
         )
 
     def match_index(self, identity: str) -> int | None:
@@ -228,7 +231,10 @@
             raise NotLeaderError(self._leader)
         # Two changes under way at once, or one before this term's first
         # commit, can leave two majorities that share no replica.
-        if self._log.membership_index > self._commit or not self.is_ready:
+        if (
+            self._log.membership_index > self._commit_index
+            or not self.is_ready
+        ):
             raise ReconfigurationError("an earlier change is under way")
         before = set(self.membership.voters)
         if len(before ^ set(change.membership.voters)) > 1:
@@ -260,7 +266,7 @@
         """
         if self._leadership is None:
             return
-        best = self._leadership.successor(self._commit, now)
+        best = self._leadership.transfer_target(self._commit_index, now)
         if best is not None:
             self._messages.append(HandOver(self._identity, best, self.term))
 
@@ -272,7 +278,7 @@
             return False
         if membership.learners:
             return True
-        return len(membership.voters) > LEAST_VOTERS
+        return len(membership.voters) > MIN_VOTERS
 
     def retire(self, now: float) -> None:
         """Ask the leader to let another vote; this replica stops.
@@ -288,17 +294,17 @@
             return
         self._messages.append(Retire(self._identity, self._leader, self.term))
 
-    def compact(self, state: bytes, trail: int) -> Snapshot:
+    def compact(self, state: bytes, trailing: int) -> Snapshot:
         """Let the state after the last applied entry stand for the log."""
-        term = self._log.term_at(self._applied)
+        term = self._log.term_at(self._applied_index)
         assert term is not None
         snapshot = Snapshot(
-            index=self._applied,
+            index=self._applied_index,
             term=term,
-            membership=self._log.membership_at(self._applied),
+            membership=self._log.membership_at(self._applied_index),
             state=state,
         )
-        self._log.compact(snapshot, trail)
+        self._log.compact(snapshot, trailing)
         return snapshot
 
     def tick(self, now: float) -> None:
@@ -311,7 +317,7 @@
         if self._identity not in self.membership.voters:
             self._reset_election(now)
             return
-        self._campaign(now)
+        self._start_pre_vote(now)
 
     def receive(self, message: Message, now: float) -> None:
         """Take one message from another replica."""
@@ -323,7 +329,7 @@
             return
         granted = isinstance(message, VoteReply) and message.granted
         if message.term > self.term and not granted:
-            self._follow(message.term, now)
+            self._adopt_term(message.term, now)
         if isinstance(message, VoteReply):
             self._on_vote_reply(message, now)
         elif isinstance(message, AppendRequest):
@@ -348,19 +354,23 @@
             self._advance_commit(self._leadership)
         entries: list[LogEntry] = []
         if self._unsaved_from is not None:
-            entries = self._log.between(self._unsaved_from, self.last_index)
+            entries = self._log.entries_between(
+                self._unsaved_from, self.last_index
+            )
         effects = Effects(
-            hard_state=self._hard_state if self._state_dirty else None,
-            snapshot=self._installed,
+            hard_state=self._hard_state if self._hard_state_dirty else None,
+            snapshot=self._installed_snapshot,
             entries=entries,
             messages=self._messages,
-            committed=self._log.between(self._applied + 1, self._commit),
+            committed=self._log.entries_between(
+                self._applied_index + 1, self._commit_index
+            ),
         )
         self._unsaved_from = None
-        self._state_dirty = False
-        self._installed = None
+        self._hard_state_dirty = False
+        self._installed_snapshot = None
         self._messages = []
-        self._applied = self._commit
+        self._applied_index = self._commit_index
         return effects
 
     def _tick_leader(self, leadership: Leadership, now: float) -> None:
@@ -371,12 +381,15 @@
             self._step_down("quorum_lost", now)
             return
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + HEARTBEAT_S
-            self._change_voters(leadership, now)
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
+            self._adjust_voters(leadership, now)
             self._broadcast(leadership)
 
-    def _change_voters(self, leadership: Leadership, now: float) -> None:
-        if self._log.membership_index > self._commit or not self.is_ready:
+    def _adjust_voters(self, leadership: Leadership, now: float) -> None:
+        if (
+            self._log.membership_index > self._commit_index
+            or not self.is_ready
+        ):
             return
         membership = leadership.next_voters(now)
         if membership is None:
@@ -388,38 +401,38 @@
         )
         self.reconfigure(change, now)
 
-    def _campaign(self, now: float) -> None:
+    def _start_pre_vote(self, now: float) -> None:
         # Asking first, without a new term, keeps a replica that was cut
         # off or frozen from deposing a leader that all others hear.
         self._step("timeout")
         self._leader = None
         self._votes = {self._identity}
         self._reset_election(now)
-        self._ask_votes(self.term + 1, True)
+        self._request_votes(self.term + 1, True)
         self._count_votes(now)
 
     def _on_hand_over(self, message: HandOver, now: float) -> None:
-        wanted = (FOLLOWER, message.term, message.source)
-        if (self._state, self.term, self._leader) != wanted:
+        expected = (FOLLOWER, message.term, message.source)
+        if (self._state, self.term, self._leader) != expected:
             return
         if self._identity in self.membership.voters:
-            self._stand("handed_over", now)
+            self._start_election("handed_over", now)
 
     def _on_retire(self, message: Retire, now: float) -> None:
         if self._leadership is None:
             return
-        self._leadership.retire(message.source, now)
-        self._change_voters(self._leadership, now)
+        self._leadership.mark_leaving(message.source, now)
+        self._adjust_voters(self._leadership, now)
 
-    def _stand(self, event: str, now: float) -> None:
+    def _start_election(self, event: str, now: float) -> None:
         self._step(event)
-        self._save(HardState(self.term + 1, self._identity))
+        self._set_hard_state(HardState(self.term + 1, self._identity))
         self._votes = {self._identity}
         self._reset_election(now)
-        self._ask_votes(self.term, False, event == "handed_over")
+        self._request_votes(self.term, False, event == "handed_over")
         self._count_votes(now)
 
-    def _ask_votes(
+    def _request_votes(
         self, term: int, pre: bool, handed_over: bool = False
     ) -> None:
         for voter in self.membership.voters:
@@ -442,40 +455,45 @@
         if len(votes) < self.membership.quorum:
             return
         if self._state == PRECANDIDATE:
-            self._stand("would_win", now)
+            self._start_election("would_win", now)
         else:
-            self._lead(now)
+            self._become_leader(now)
 
-    def _lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self._step("win")
         self._leader = self._identity
         self._leadership = Leadership(
             self._identity, self.term, self._log, now
         )
-        self._heartbeat_at = now + HEARTBEAT_S
-        self._term_start = self._append(NoOp())
+        self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        self._term_start_index = self._append(NoOp())
         self._append_due = True
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
-        alive = now - self._heard_leader_at < ELECTION_S
-        if not request.handed_over and (self._state == LEADER or alive):
+        leader_is_alive = now - self._leader_contact_at < ELECTION_TIMEOUT_S
+        if not request.handed_over and (
+            self._state == LEADER or leader_is_alive
+        ):
             # A leader that a quorum hears must not lose its term to a
             # replica that does not hear it.
             self._messages.append(vote_reply(request, self.term, False))
             return
         if not request.pre and request.term > self.term:
-            self._follow(request.term, now)
-        mine = (self._log.last_term, self.last_index)
-        fresh = (request.last_term, request.last_index) >= mine
+            self._adopt_term(request.term, now)
+        own_position = (self._log.last_term, self.last_index)
+        log_up_to_date = (
+            request.last_term,
+            request.last_index,
+        ) >= own_position
         if request.pre:
-            granted = fresh and request.term > self.term
+            granted = log_up_to_date and request.term > self.term
             term = request.term if granted else self.term
             self._messages.append(vote_reply(request, term, granted))
             return
-        free = self._hard_state.voted_for in (None, request.source)
-        granted = request.term == self.term and fresh and free
+        can_vote = self._hard_state.voted_for in (None, request.source)
+        granted = request.term == self.term and log_up_to_date and can_vote
         if granted:
-            self._save(HardState(self.term, request.source))
+            self._set_hard_state(HardState(self.term, request.source))
             self._reset_election(now)
         self._messages.append(vote_reply(request, self.term, granted))
 
@@ -483,10 +501,10 @@
         if not reply.granted:
             return
         if reply.pre:
-            wanted = (PRECANDIDATE, self.term + 1)
+            expected = (PRECANDIDATE, self.term + 1)
         else:
-            wanted = (CANDIDATE, self.term)
-        if (self._state, reply.term) != wanted:
+            expected = (CANDIDATE, self.term)
+        if (self._state, reply.term) != expected:
             return
         self._votes.add(reply.source)
         self._count_votes(now)
@@ -494,78 +512,83 @@
     def _on_append_request(self, request: AppendRequest, now: float) -> None:
         agreed, match = False, 0
         if request.term >= self.term:
-            self._hear_leader(request.source, now)
-            agreed, match = self._take_entries(request)
+            self._record_leader_contact(request.source, now)
+            agreed, match = self._accept_entries(request)
         self._messages.append(append_reply(request, self.term, agreed, match))
 
-    def _take_entries(self, request: AppendRequest) -> tuple[bool, int]:
+    def _accept_entries(self, request: AppendRequest) -> tuple[bool, int]:
         """Return whether the logs agree, and up to where they do or may."""
         previous = request.previous_index
         if previous < self._log.snapshot.index:
             # All up to the snapshot is committed, so the leader has it.
             return False, self._log.snapshot.index
         if self._log.term_at(previous) != request.previous_term:
-            hint = min(self.last_index, previous - 1)
-            return False, max(hint, self._commit)
+            conflict_hint = min(self.last_index, previous - 1)
+            return False, max(conflict_hint, self._commit_index)
         self._merge(request.entries)
         match = previous + len(request.entries)
-        self._commit = max(self._commit, min(request.commit, match))
+        self._commit_index = max(
+            self._commit_index, min(request.commit, match)
+        )
         return True, match
 
     def _on_append_reply(self, reply: AppendReply, now: float) -> None:
         leadership = self._leadership
         if leadership is None:
             return
-        before = self._commit
-        more = leadership.take_append(reply, now)
+        before = self._commit_index
+        more = leadership.handle_append_reply(reply, now)
         self._advance_commit(leadership)
         self._send_more(reply.source, more)
-        if before < self._log.membership_index <= self._commit:
+        if before < self._log.membership_index <= self._commit_index:
             # One voter more or less is often half of an exchange.
-            self._change_voters(leadership, now)
+            self._adjust_voters(leadership, now)
 
     def _on_install_request(self, request: InstallRequest, now: float) -> None:
         received, done = 0, False
         if request.term >= self.term:
-            self._hear_leader(request.source, now)
-            received, done = self._take_piece(request)
+            self._record_leader_contact(request.source, now)
+            received, done = self._add_chunk(request)
         self._messages.append(
             install_reply(request, self.term, received, done)
         )
 
-    def _take_piece(self, request: InstallRequest) -> tuple[int, bool]:
+    def _add_chunk(self, request: InstallRequest) -> tuple[int, bool]:
         """Return how many bytes are there, and whether these are all."""
-        if request.index <= self._commit:
-            self._install = None
+        if request.index <= self._commit_index:
+            self._incoming_snapshot = None
             return request.total, True
-        if self._install is None or not self._install.matches(request):
-            self._install = Install(request)
-        self._install.take(request)
-        snapshot = self._install.finished()
+        if (
+            self._incoming_snapshot is None
+            or not self._incoming_snapshot.matches(request)
+        ):
+            self._incoming_snapshot = IncomingSnapshot(request)
+        self._incoming_snapshot.add_chunk(request)
+        snapshot = self._incoming_snapshot.completed()
         if snapshot is None:
-            return self._install.received, False
+            return self._incoming_snapshot.received, False
         self._log = Log(snapshot, [])
         self._unsaved_from = None
-        self._commit = snapshot.index
-        self._applied = snapshot.index
-        self._installed = snapshot
-        self._install = None
+        self._commit_index = snapshot.index
+        self._applied_index = snapshot.index
+        self._installed_snapshot = snapshot
+        self._incoming_snapshot = None
         return request.total, True
 
     def _on_install_reply(self, reply: InstallReply, now: float) -> None:
         leadership = self._leadership
         if leadership is None:
             return
-        more = leadership.take_install(reply, now)
+        more = leadership.handle_install_reply(reply, now)
         self._advance_commit(leadership)
         self._send_more(reply.source, more)
 
-    def _hear_leader(self, leader: str, now: float) -> None:
+    def _record_leader_contact(self, leader: str, now: float) -> None:
         if self._state in (PRECANDIDATE, CANDIDATE):
             self._step("leader_heard")
         self._leader = leader
-        self._heard_leader_at = now
-        self._heard_any = True
+        self._leader_contact_at = now
+        self._has_had_leader = True
         self._reset_election(now)
 
     def _merge(self, entries: list[LogEntry]) -> None:
@@ -574,18 +597,23 @@
             if known == entry.term:
                 continue
             if known is not None:
-                assert entry.index > self._commit, "committed entry differs"
+                assert entry.index > self._commit_index, (
+                    "committed entry differs"
+                )
                 self._log.truncate(entry.index)
             self._log.append(entry)
             self._mark_unsaved(entry.index)
 
     def _advance_commit(self, leadership: Leadership) -> None:
-        index = leadership.agreed_index()
+        index = leadership.quorum_index()
         # An entry of an earlier term may still be overwritten although a
         # majority holds it; only one of the own term commits by count.
-        if index <= self._commit or self._log.term_at(index) != self.term:
+        if (
+            index <= self._commit_index
+            or self._log.term_at(index) != self.term
+        ):
             return
-        self._commit = index
+        self._commit_index = index
         left = self._identity not in self.membership.voters
         if left and self._log.membership_index <= index:
             self._broadcast(leadership)
@@ -600,39 +628,42 @@
 
     def _broadcast(self, leadership: Leadership) -> None:
         self._append_due = False
-        self._messages.extend(leadership.broadcast(self._commit))
+        self._messages.extend(leadership.broadcast(self._commit_index))
 
     def _send_more(self, peer: str, more: bool) -> None:
         if more and self._leadership is not None:
             self._messages.append(
-                self._leadership.message_for(peer, self._commit)
+                self._leadership.next_message(peer, self._commit_index)
             )
 
-    def _follow(self, term: int, now: float) -> None:
+    def _adopt_term(self, term: int, now: float) -> None:
         if self._state == LEADER:
             self._reset_election(now)
         self._step("higher_term")
         self._leader = None
-        self._save(HardState(term, None))
+        self._set_hard_state(HardState(term, None))
 
     def _step_down(self, event: str, now: float) -> None:
         self._step(event)
         self._leader = None
         self._reset_election(now)
 
-    def _save(self, hard_state: HardState) -> None:
+    def _set_hard_state(self, hard_state: HardState) -> None:
         self._hard_state = hard_state
-        self._state_dirty = True
+        self._hard_state_dirty = True
 
     def _mark_unsaved(self, index: int) -> None:
         if self._unsaved_from is None or index < self._unsaved_from:
             self._unsaved_from = index
 
     def _reset_election(self, now: float) -> None:
-        least_s, spread_s = START_ELECTION_S, START_SPREAD_S
-        if self._heard_any:
-            least_s, spread_s = ELECTION_S, ELECTION_SPREAD_S
-        self._election_at = now + least_s + spread_s * self._random.random()
+        timeout_s, jitter_s = (
+            INITIAL_ELECTION_TIMEOUT_S,
+            INITIAL_ELECTION_JITTER_S,
+        )
+        if self._has_had_leader:
+            timeout_s, jitter_s = ELECTION_TIMEOUT_S, ELECTION_JITTER_S
+        self._election_at = now + timeout_s + jitter_s * self._random.random()
 
     def _step(self, event: str) -> None:
         self._state = REPLICA_CHART.step(self._state, event)
--- a/packages/core/nutmegchute_core/voters.py
+++ b/packages/core/nutmegchute_core/voters.py
@@ -11,10 +11,10 @@
 
 # Five heartbeats without a reply. A mistaken exchange costs two log entries:
 # who was only slow goes on learning, and is the next to vote.
-GONE_S = 1.0
+VOTER_TIMEOUT_S = 1.0
 # A group is not made smaller than this: it bears the loss of one voter, and
 # two voters bear none.
-LEAST_VOTERS = 3
+MIN_VOTERS = 3
 
 
 def next_voters(
@@ -32,31 +32,31 @@
     """
     voters = membership.voters
     even = len(voters) % 2 == 0
-    spare = _spares(membership, caught_up, leaving)
-    gone = _longest_silent(voters, silent_s)
-    if gone is not None and (spare or _is_dispensable(voters)):
+    promotable = _promotable_learners(membership, caught_up, leaving)
+    silent = _longest_silent(voters, silent_s)
+    if silent is not None and (promotable or _is_dispensable(voters)):
         # Before the newcomer votes: were it lost at this moment, the others
         # would be enough by themselves.
-        return membership.demoted(gone)
+        return membership.demoted(silent)
     for voter in voters:
         if voter not in leaving:
             continue
         if _is_dispensable(voters):
             return membership.demoted(voter)
-        if spare:
+        if promotable:
             # It still acknowledges, so the group bears a loss all the while.
-            return membership.promoted(spare[0].identity)
-    if spare and (even or len(spare) > 1):
-        return membership.promoted(spare[0].identity)
+            return membership.promoted(promotable[0].identity)
+    if promotable and (even or len(promotable) > 1):
+        return membership.promoted(promotable[0].identity)
     return None
 
 
 def _is_dispensable(voters: list[str]) -> bool:
     """Tell whether a group bears as many losses with a voter less."""
-    return len(voters) > LEAST_VOTERS
+    return len(voters) > MIN_VOTERS
 
 
-def _spares(
+def _promotable_learners(
     membership: Membership, caught_up: set[str], leaving: set[str]
 ) -> list[Member]:
     found = []
@@ -75,7 +75,7 @@
     longest_s = 0.0
     for voter in voters:
         voter_s = silent_s.get(voter, 0.0)
-        if voter_s < GONE_S or voter_s <= longest_s:
+        if voter_s < VOTER_TIMEOUT_S or voter_s <= longest_s:
             continue
         found = voter
         longest_s = voter_s
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -35,7 +35,7 @@
 from .disks import PowerCutError
 
 INTRODUCE_S = 0.5
-TEND_S = 0.5
+MEMBERSHIP_CHECK_S = 0.5
 HAND_OVER_S = 0.3
 RETIRE_S = 1.0
 RETIRE_TICK_S = 0.1
@@ -55,23 +55,23 @@
     def __init__(self) -> None:
         self.entries: dict[int, LogEntry] = {}
         self.leaders: dict[int, str] = {}
-        self.told: dict[str, Answer] = {}
+        self.recorded_answers: dict[str, Answer] = {}
 
-    def apply(self, entry: LogEntry) -> None:
+    def record_entry(self, entry: LogEntry) -> None:
         """Check that every replica applies the same entry at an index."""
         known = self.entries.setdefault(entry.index, entry)
         if known != entry:
             raise OracleError(f"two entries at {entry.index}")
 
-    def lead(self, term: int, identity: str) -> None:
+    def record_leader(self, term: int, identity: str) -> None:
         """Check that a term has one leader."""
         known = self.leaders.setdefault(term, identity)
         if known != identity:
             raise OracleError(f"two leaders in term {term}")
 
-    def tell(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Check that a change id is answered the same way always."""
-        known = self.told.setdefault(answer.change_id, answer)
+        known = self.recorded_answers.setdefault(answer.change_id, answer)
         if known != answer:
             raise OracleError(f"two answers to {answer.change_id}")
 
@@ -84,10 +84,10 @@
             outcome = machine.apply(self.entries[index])
             if not isinstance(outcome, Answer):
                 continue
-            known = self.told.get(outcome.change_id, outcome)
+            known = self.recorded_answers.get(outcome.change_id, outcome)
             if known != outcome:
                 raise OracleError(f"{outcome.change_id} was told otherwise")
-        for change_id, answer in self.told.items():
+        for change_id, answer in self.recorded_answers.items():
             if answer.index not in self.entries:
                 raise OracleError(f"{change_id} is lost")
         return machine
@@ -112,16 +112,16 @@
         self.up = False
         self.frozen_until = 0.0
         self.starts = 0
-        self._alarm = 0.0
-        self._waiting: dict[int, tuple[int, Any]] = {}
-        self._questions: dict[int, Callable[[FollowReply], None]] = {}
+        self._wake_at = 0.0
+        self._proposals: dict[int, tuple[int, Any]] = {}
+        self._queries: dict[int, Callable[[FollowReply], None]] = {}
         self._long_polls = LongPolls()
-        self._ticket = 0
+        self._last_query_id = 0
         self._join_requests = JoinRequests()
-        self._heard_leader = ""
+        self._leader_hint = ""
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether the replica believes to lead."""
         return self.node is not None and self.node.replica.state == LEADER
 
@@ -135,8 +135,8 @@
         """End at once; what was not synced may be gone."""
         self.up = False
         self.node = None
-        self._waiting = {}
-        self._questions = {}
+        self._proposals = {}
+        self._queries = {}
         self._long_polls = LongPolls()
         self.disk.crash()
 
@@ -164,31 +164,31 @@
         self._guard(self._flush)
         self._cluster.after(RETIRE_TICK_S, lambda: self._retire(start, since))
 
-    def thaw(self) -> bool:
+    def is_running(self) -> bool:
         """Tell whether the process runs."""
         return self.up and self._cluster.now >= self.frozen_until
 
-    def propose(self, command: Any, told: Callable[[Any], None]) -> None:
+    def propose(self, command: Any, on_reply: Callable[[Any], None]) -> None:
         """Propose a command, and call back when it is decided."""
         if self.node is None:
             raise NotLeaderError(None)
         index, term = self.node.propose(command)
-        self._waiting[index] = (term, told)
+        self._proposals[index] = (term, on_reply)
         self._guard(self._flush)
 
-    def ask(
-        self, request: FollowRequest, told: Callable[[FollowReply], None]
+    def query(
+        self, request: FollowRequest, on_reply: Callable[[FollowReply], None]
     ) -> None:
         """Take an entry's question."""
         if self.node is None:
             return
-        self._ticket += 1
-        ticket = self._ticket
-        self._questions[ticket] = told
+        self._last_query_id += 1
+        query_id = self._last_query_id
+        self._queries[query_id] = on_reply
         now = self._cluster.now
-        reply = self._long_polls.enqueue(ticket, request, self.node, now)
+        reply = self._long_polls.enqueue(query_id, request, self.node, now)
         if reply is not None:
-            self._questions.pop(ticket)(reply)
+            self._queries.pop(query_id)(reply)
         self._guard(self._flush)
 
     def in_force(self, index: int) -> bool:
@@ -197,11 +197,11 @@
             return False
         return self._long_polls.in_force(index, self.node, self._cluster.now)
 
-    def take(self, message: Message, sender: "FakeReplica") -> None:
+    def receive_from(self, message: Message, sender: "FakeReplica") -> None:
         """Take a message and its sender, who learns of a lost disk."""
         if message.target != self._identity.identity:
             self._cluster.send(
-                self.name, sender.name, lambda: sender.meet(self.name)
+                self.name, sender.name, lambda: sender.introduce_to(self.name)
             )
         self.receive(message)
 
@@ -212,63 +212,69 @@
         self.node.replica.receive(message, self._cluster.now)
         self._guard(self._flush)
 
-    def introduced(
-        self, word: Introduction, source: "FakeReplica", refer: bool
+    def receive_introduction(
+        self, introduction: Introduction, source: "FakeReplica", refer: bool
     ) -> None:
         """Take another replica's introduction and answer with its own."""
         if not self.up:
             return
-        self._formation.record(word)
-        if word.group is not None:
-            self._heard_leader = word.leader or word.member.name
-        self._join_requests.record(word, self._cluster.now)
+        self._formation.record(introduction)
+        if introduction.group is not None:
+            self._leader_hint = introduction.leader or introduction.member.name
+        self._join_requests.record(introduction, self._cluster.now)
         own = self._introduction()
         self._cluster.send(
             self.name,
             source.name,
-            lambda: source.hear_introduction(own, refer),
+            lambda: source.receive_introduction_reply(own, refer),
         )
 
-    def hear_introduction(self, word: Introduction, refer: bool) -> None:
+    def receive_introduction_reply(
+        self, introduction: Introduction, refer: bool
+    ) -> None:
         """Take the answer to an introduction."""
         if not self.up:
             return
-        self._formation.record(word)
+        self._formation.record(introduction)
         if refer:
-            self._introduce_to(word.leader, False)
+            self._send_introduction(introduction.leader, False)
 
     def replace(self, name: str) -> None:
         """Take the outsider of a name in, in place of its namesake."""
         self._change_group(MembershipChange("replace", name))
 
-    def _tend(self, start: int) -> None:
+    def _check_membership(self, start: int) -> None:
         if start != self.starts or not self.up:
             return
-        self._cluster.after(TEND_S, lambda: self._tend(start))
-        if self.node is None or not self.thaw():
+        self._cluster.after(
+            MEMBERSHIP_CHECK_S, lambda: self._check_membership(start)
+        )
+        if self.node is None or not self.is_running():
             return
         replica = self.node.replica
         if not replica.is_ready:
             return
-        wish = due_change(
-            replica, self._asking(replica), self._cluster.now, False
+        wanted_change = due_change(
+            replica, self._pending_members(replica), self._cluster.now, False
         )
-        if wish is not None:
-            self._change_group(wish)
+        if wanted_change is not None:
+            self._change_group(wanted_change)
 
-    def _change_group(self, wish: MembershipChange) -> None:
+    def _change_group(self, wanted_change: MembershipChange) -> None:
         if self.node is None:
             return
         replica = self.node.replica
         try:
-            membership = wish.apply(replica.membership, self._asking(replica))
-            change = Reconfigure(membership, "test", wish.describe())
+            membership = wanted_change.apply(
+                replica.membership, self._pending_members(replica)
+            )
+            change = Reconfigure(membership, "test", wanted_change.describe())
             replica.reconfigure(change, self._cluster.now)
         except CoreError:
             return
         self._guard(self._flush)
 
-    def _asking(self, replica: Replica) -> dict[str, Member]:
+    def _pending_members(self, replica: Replica) -> dict[str, Member]:
         return self._join_requests.pending(
             replica.membership, self._cluster.now
         )
@@ -287,8 +293,8 @@
         else:
             self._form()
         self._introduce(self.starts)
-        if self._cluster.tended:
-            self._tend(self.starts)
+        if self._cluster.auto_membership:
+            self._check_membership(self.starts)
 
     def _start_node(self) -> None:
         founder = self._identity.genesis.find(self._identity.identity)
@@ -300,7 +306,7 @@
             now=self._cluster.now,
             seed=self._seed + self.starts,
         )
-        self._arm()
+        self._schedule_wake()
 
     def _form(self) -> None:
         found = self._formation.result()
@@ -315,31 +321,33 @@
         if start != self.starts or not self.up:
             return
         self._cluster.after(INTRODUCE_S, lambda: self._introduce(start))
-        if not self.thaw():
+        if not self.is_running():
             return
         if self.node is None:
             self._guard(self._form)
-        names = [*self._seeds, self._heard_leader]
+        names = [*self._seeds, self._leader_hint]
         if self.node is not None:
             replica = self.node.replica
             if not replica.should_request_join(self._cluster.now):
                 return
             names += [one.name for one in replica.membership.members]
         for name in dict.fromkeys(names):
-            self._introduce_to(name, True)
+            self._send_introduction(name, True)
 
-    def meet(self, name: str) -> None:
+    def introduce_to(self, name: str) -> None:
         """Introduce this replica to one that has lost its disk."""
         if self.up:
-            self._introduce_to(name, False)
+            self._send_introduction(name, False)
 
-    def _introduce_to(self, name: str, refer: bool) -> None:
+    def _send_introduction(self, name: str, refer: bool) -> None:
         if name in ("", self.name):
             return
         own = self._introduction()
         other = self._cluster.replicas[name]
         self._cluster.send(
-            self.name, name, lambda: other.introduced(own, self, refer)
+            self.name,
+            name,
+            lambda: other.receive_introduction(own, self, refer),
         )
 
     def _introduction(self) -> Introduction:
@@ -366,8 +374,8 @@
         except StorageError:
             # As the daemon does: stand still, then start from the disk.
             self.node = None
-            self._waiting = {}
-            self._questions = {}
+            self._proposals = {}
+            self._queries = {}
             self._long_polls = LongPolls()
             start = self.starts
             self._cluster.after(RECOVER_S, lambda: self._recover(start))
@@ -382,25 +390,25 @@
 
         self._guard(reload)
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         assert self.node is not None
         wake_at = max(self.node.replica.wake_at, self._cluster.now + 0.001)
-        if self._alarm and self._alarm <= wake_at:
+        if self._wake_at and self._wake_at <= wake_at:
             return
-        self._alarm = wake_at
+        self._wake_at = wake_at
         start = self.starts
         self._cluster.at(wake_at, lambda: self._wake(wake_at, start))
 
-    def _wake(self, alarm: float, start: int) -> None:
-        if alarm != self._alarm:
+    def _wake(self, scheduled_at: float, start: int) -> None:
+        if scheduled_at != self._wake_at:
             return
-        self._alarm = 0.0
+        self._wake_at = 0.0
         if start != self.starts or self.node is None:
             if self.node is not None:
-                self._arm()
+                self._schedule_wake()
             return
-        if not self.thaw():
-            self._alarm = self.frozen_until
+        if not self.is_running():
+            self._wake_at = self.frozen_until
             until = self.frozen_until
             self._cluster.at(until, lambda: self._wake(until, start))
             return
@@ -413,23 +421,23 @@
         flushed = node.flush()
         oracle = self._cluster.oracle
         for decided in flushed.decided:
-            oracle.apply(decided.entry)
-            self._settle(decided.entry, decided.outcome)
+            oracle.record_entry(decided.entry)
+            self._report_outcome(decided.entry, decided.outcome)
         if node.replica.state == LEADER:
-            oracle.lead(node.replica.term, node.replica.identity)
+            oracle.record_leader(node.replica.term, node.replica.identity)
         for message in flushed.messages:
             self._cluster.deliver(self.name, message)
         answers = self._long_polls.advance(node, self._cluster.now)
-        for ticket, reply in answers.items():
-            told = self._questions.pop(ticket, None)
-            if told is not None:
-                told(reply)
-        self._arm()
+        for query_id, reply in answers.items():
+            on_reply = self._queries.pop(query_id, None)
+            if on_reply is not None:
+                on_reply(reply)
+        self._schedule_wake()
 
-    def _settle(self, entry: LogEntry, outcome: Any) -> None:
-        waiting = self._waiting.pop(entry.index, None)
-        if waiting is not None and waiting[0] == entry.term:
-            waiting[1](outcome)
+    def _report_outcome(self, entry: LogEntry, outcome: Any) -> None:
+        proposal = self._proposals.pop(entry.index, None)
+        if proposal is not None and proposal[0] == entry.term:
+            proposal[1](outcome)
 
 
 class FakeEntry:
@@ -456,24 +464,28 @@
         names = list(self._cluster.replicas)
         target = self._cluster.random.choice(names)
         request = FollowRequest(self.name, self.index, hold=False)
-        asked_at = self._cluster.now
+        sent_at = self._cluster.now
         epoch = self.epoch
 
-        def told(reply: FollowReply) -> None:
+        def on_reply(reply: FollowReply) -> None:
             self._cluster.send(
-                target, self.name, lambda: self._take(reply, asked_at, epoch)
+                target,
+                self.name,
+                lambda: self._apply_reply(reply, sent_at, epoch),
             )
 
         replica = self._cluster.replicas[target]
         self._cluster.send(
-            self.name, target, lambda: replica.ask(request, told)
+            self.name, target, lambda: replica.query(request, on_reply)
         )
 
-    def _take(self, reply: FollowReply, asked_at: float, epoch: int) -> None:
-        late = self._cluster.now - asked_at > FOLLOW_TIMEOUT_S
+    def _apply_reply(
+        self, reply: FollowReply, sent_at: float, epoch: int
+    ) -> None:
+        late = self._cluster.now - sent_at > FOLLOW_TIMEOUT_S
         if epoch != self.epoch or not reply.current or late:
             return
-        self.lease.renew(asked_at)
+        self.lease.renew(sent_at)
         if reply.documents is None or reply.index <= self.index:
             return
         if reply.index < self._floor:
@@ -491,17 +503,17 @@
     """
 
     def __init__(
-        self, size: int, entries: int, seed: int, tended: bool = False
+        self, size: int, entries: int, seed: int, auto_membership: bool = False
     ) -> None:
-        self.tended = tended
+        self.auto_membership = auto_membership
         self._seed = seed
         self.random = Random(seed)
         self.now = 0.0
         self.names = [f"control-{n}" for n in range(1, size + 1)]
         self.oracle = Oracle()
-        self.cuts: set[tuple[str, str]] = set()
+        self.partitions: set[tuple[str, str]] = set()
         self.loss = 0.01
-        self.doubled = 0.02
+        self.duplication = 0.02
         self.in_force_index = 0
         self._events: list[tuple[float, int, Callable[[], Any]]] = []
         self._sequence = 0
@@ -543,23 +555,28 @@
         self.now = end
         self.check()
 
-    def run_until(self, probe: Callable[[], bool], most: float) -> bool:
+    def run_until(
+        self, condition: Callable[[], bool], timeout_s: float
+    ) -> bool:
         """Let time pass until something holds, ``most`` seconds."""
-        end = self.now + most
+        end = self.now + timeout_s
         while self.now < end:
-            if probe():
+            if condition():
                 return True
             self.run(0.1)
-        return probe()
+        return condition()
 
     def send(self, source: str, target: str, action: Any) -> None:
         """Carry something over the network, which may lose or double it."""
-        if (source, target) in self.cuts or self.random.random() < self.loss:
+        if (
+            source,
+            target,
+        ) in self.partitions or self.random.random() < self.loss:
             return
-        copies = 2 if self.random.random() < self.doubled else 1
+        copies = 2 if self.random.random() < self.duplication else 1
         for _ in range(copies):
             delay = self.random.uniform(0.0005, MAX_DELAY_S)
-            self.after(delay, lambda: self._arrive(target, action))
+            self.after(delay, lambda: self._deliver(target, action))
 
     def deliver(self, source: str, message: Message) -> None:
         """Carry a message between replicas, by identity."""
@@ -567,7 +584,9 @@
         replica = self.replicas.get(name)
         if replica is not None:
             sender = self.replicas[source]
-            self.send(source, name, lambda: replica.take(message, sender))
+            self.send(
+                source, name, lambda: replica.receive_from(message, sender)
+            )
 
     def leader(self) -> FakeReplica | None:
         """Return the leader of the highest term, if any."""
@@ -575,7 +594,7 @@
         highest = 0
         for replica in self.replicas.values():
             node = replica.node
-            if node is None or not replica.leads:
+            if node is None or not replica.is_leader:
                 continue
             if node.replica.term > highest:
                 highest = node.replica.term
@@ -584,7 +603,7 @@
 
     def heal(self) -> None:
         """End every fault."""
-        self.cuts = set()
+        self.partitions = set()
         for replica in self.replicas.values():
             replica.frozen_until = 0.0
             replica.disk.full = False
@@ -595,15 +614,15 @@
     def change(self, change: Change) -> None:
         """Send a change to whoever leads; its answer may get lost."""
         replica = self.leader()
-        if replica is None or not replica.thaw():
+        if replica is None or not replica.is_running():
             return
 
-        def told(outcome: Any) -> None:
+        def on_reply(outcome: Any) -> None:
             assert isinstance(outcome, Answer)
-            self.oracle.tell(outcome)
+            self.oracle.record_answer(outcome)
 
         try:
-            replica.propose(change, told)
+            replica.propose(change, on_reply)
         except NotLeaderError:
             return
 
@@ -611,7 +630,11 @@
         """Check what must hold at every moment."""
         for replica in self.replicas.values():
             node = replica.node
-            if node is None or not replica.leads or not replica.thaw():
+            if (
+                node is None
+                or not replica.is_leader
+                or not replica.is_running()
+            ):
                 continue
             index = node.machine.tree.index
             if index <= self.in_force_index or not replica.in_force(index):
@@ -626,14 +649,16 @@
                     f"{self.in_force_index} is in force"
                 )
 
-    def _arrive(self, target: str, action: Callable[[], Any]) -> None:
+    def _deliver(self, target: str, action: Callable[[], Any]) -> None:
         replica = self.replicas.get(target)
         if replica is None:
             action()
             return
         if not replica.up:
             return
-        if not replica.thaw():
-            self.at(replica.frozen_until, lambda: self._arrive(target, action))
+        if not replica.is_running():
+            self.at(
+                replica.frozen_until, lambda: self._deliver(target, action)
+            )
             return
         action()
--- a/tests/test_nodes.py
+++ b/tests/test_nodes.py
@@ -59,20 +59,20 @@
         entries = [entry.name for entry in self.cluster.entries]
         for other in [*self.cluster.names, *entries]:
             if both or outwards:
-                self.cluster.cuts.add((name, other))
+                self.cluster.partitions.add((name, other))
             if both or not outwards:
-                self.cluster.cuts.add((other, name))
+                self.cluster.partitions.add((other, name))
 
     @rule(number=PICK, other=PICK)
     def cut(self, number: int, other: int) -> None:
         """Cut one direction between two replicas."""
         pair = (self.pick(number).name, self.pick(other).name)
-        self.cluster.cuts.add(pair)
+        self.cluster.partitions.add(pair)
 
     @rule()
     def heal(self) -> None:
         """Make the network whole."""
-        self.cluster.cuts = set()
+        self.cluster.partitions = set()
 
     @rule(number=PICK, seconds=st.sampled_from([0.5, 1.5, 5.0]))
     def freeze(self, number: int, seconds: float) -> None:
@@ -276,15 +276,15 @@
     def send(self, change: Change) -> None:
         """Send a change to some replica that believes to lead."""
         believers = [
-            one for one in self.cluster.replicas.values() if one.leads
+            one for one in self.cluster.replicas.values() if one.is_leader
         ]
         if not believers:
             return
         replica = self.cluster.random.choice(believers)
-        if not replica.thaw():
+        if not replica.is_running():
             return
         try:
-            replica.propose(change, self.cluster.oracle.tell)
+            replica.propose(change, self.cluster.oracle.record_answer)
         except NotLeaderError:
             return
 
@@ -342,9 +342,9 @@
     """Make snapshots, trails and pieces small, so that they come often."""
     values: list[tuple[Any, str, int]] = [
         (nodes, "SNAPSHOT_ENTRIES", 30),
-        (nodes, "TRAIL", 8),
-        (leaderships, "PIECE_BYTES", 3000),
-        (leaderships, "CAUGHT_UP", 8),
+        (nodes, "TRAILING_ENTRIES", 8),
+        (leaderships, "CHUNK_BYTES", 3000),
+        (leaderships, "CAUGHT_UP_ENTRIES", 8),
     ]
     for module, name, value in values:
         monkeypatch.setattr(module, name, value)
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -45,13 +45,16 @@
 
         def told() -> bool:
             nonlocal leader
-            if change.change_id not in cluster.oracle.told:
+            if change.change_id not in cluster.oracle.recorded_answers:
                 leader = cluster.leader()
                 cluster.change(change)
-            return change.change_id in cluster.oracle.told
+            return change.change_id in cluster.oracle.recorded_answers
 
         assert cluster.run_until(told, 10.0)
-        assert cluster.oracle.told[change.change_id].outcome == ACCEPTED
+        assert (
+            cluster.oracle.recorded_answers[change.change_id].outcome
+            == ACCEPTED
+        )
         assert leader is not None
         self.accepted += 1
         return leader
@@ -109,7 +112,7 @@
          4.98 NC2019 voters 4, majority 3 (core-lahore-2 taken in)
         44.32 NC2020 granted core-faisalabad-2, core-gujranwala-1
     """
-    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     operator = Operator(cluster)
     operator.change()
@@ -135,7 +138,7 @@
         23.43 NC2001 term 3 (core-faisalabad-2, after a loss of power)
         33.64 NC2004 replica "core-faisalabad-1" (core-lahore-1)
     """
-    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     operator = Operator(cluster)
     cluster.add(cluster.names)
@@ -169,7 +172,7 @@
     in, never hears of it; the replica that it replaces is lost without a
     successor.
     """
-    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     leader = cluster.leader()
     follower = next(
@@ -189,7 +192,7 @@
     nobody sends, and counts for nobody. A lost disk later finds the group
     one replica short.
     """
-    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
@@ -207,7 +210,7 @@
     silence, and then counted the silence of a replica that had said that
     it goes: a disk lost in these three seconds left no majority for ever.
     """
-    cluster = SimulatedCluster(3, entries=0, seed=1, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=1, auto_membership=True)
     cluster.loss = 0.0
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     operator = Operator(cluster)
@@ -215,11 +218,11 @@
     cluster.run(CATCH_UP_S)
     gone = cluster.leader()
     assert gone is not None
-    cuts = {(gone.name, other) for other in cluster.replicas}
-    cluster.cuts = set(cuts)
+    partitions = {(gone.name, other) for other in cluster.replicas}
+    cluster.partitions = set(partitions)
     gone.stop()
     cluster.run(0.1)
-    cluster.cuts = set()
+    cluster.partitions = set()
     cluster.run(1.5)
     lost = operator.change()
     lose_disks_and_power(cluster, [lost], [gone])
@@ -235,7 +238,7 @@
     the group and of nobody in it, it would wait for ever, and the next
     loss would stop all changes.
     """
-    cluster = SimulatedCluster(3, entries=0, seed=seed, tended=True)
+    cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: ready(cluster), 5.0)
     last = cluster.replicas[cluster.names[1]]
     for name in (cluster.names[0], cluster.names[2]):
@@ -276,7 +279,7 @@
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
         self.cluster = SimulatedCluster(
-            size, entries=0, seed=seed, tended=True
+            size, entries=0, seed=seed, auto_membership=True
         )
         self.operator = Operator(self.cluster)
         self.gone: list[FakeReplica] = []
@@ -383,7 +386,7 @@
         """Cut replicas off from all others and join them again."""
         self.cut(self.victims())
         self.cluster.run(self.random.choice([2.0, 9.0]))
-        self.cluster.cuts = set()
+        self.cluster.partitions = set()
 
     def leave_behind(self) -> None:
         """Lose a disk where changes are known, and join who missed them."""
@@ -395,7 +398,7 @@
         for replica in others:
             replica.kill()
         others[0].disk.lose()
-        self.cluster.cuts = set()
+        self.cluster.partitions = set()
         self.cluster.run(self.random.choice([0.5, 3.0]))
         for replica in others:
             replica.start()
@@ -409,7 +412,7 @@
             replica.kill()
             replica.start()
         self.cluster.run(2.0)
-        self.cluster.cuts = set()
+        self.cluster.partitions = set()
         for replica in self.there():
             if replica not in behind:
                 replica.kill()
@@ -419,8 +422,8 @@
         """Cut replicas off from all others, and from one another."""
         for replica in replicas:
             for other in self.cluster.replicas:
-                self.cluster.cuts.add((replica.name, other))
-                self.cluster.cuts.add((other, replica.name))
+                self.cluster.partitions.add((replica.name, other))
+                self.cluster.partitions.add((other, replica.name))
 
 
 @pytest.mark.parametrize("size", [3, 5])
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -55,12 +55,12 @@
     """Send a change until it is accepted."""
 
     def told() -> bool:
-        if change_id not in cluster.oracle.told:
+        if change_id not in cluster.oracle.recorded_answers:
             cluster.change(change(change_id, base))
-        return change_id in cluster.oracle.told
+        return change_id in cluster.oracle.recorded_answers
 
     assert cluster.run_until(told, 20.0)
-    assert cluster.oracle.told[change_id].outcome == ACCEPTED
+    assert cluster.oracle.recorded_answers[change_id].outcome == ACCEPTED
 
 
 @pytest.mark.parametrize("size", [1, 3, 5])
@@ -101,11 +101,11 @@
     old = cluster.leader()
     assert old is not None
     for other in [*cluster.names, "entry-0", "entry-1"]:
-        cluster.cuts |= {(old.name, other), (other, old.name)}
+        cluster.partitions |= {(old.name, other), (other, old.name)}
     cluster.run(3.0)
-    assert not old.leads
+    assert not old.is_leader
     accept(cluster, "a", 0)
-    cluster.cuts = set()
+    cluster.partitions = set()
     cluster.run(3.0)
     assert old.node is not None
     assert old.node.machine.tree.revisions == {"lending": 1}
@@ -126,9 +126,9 @@
     term = leader.node.replica.term
     away = next(one for one in cluster.names if one != leader.name)
     for other in cluster.names:
-        cluster.cuts |= {(away, other), (other, away)}
+        cluster.partitions |= {(away, other), (other, away)}
     cluster.run(10.0)
-    cluster.cuts = set()
+    cluster.partitions = set()
     cluster.run(5.0)
     assert cluster.leader() is leader
     assert leader.node.replica.term == term
@@ -147,7 +147,7 @@
     assert leader.node is not None
     term = leader.node.replica.term
     deaf = next(one for one in cluster.names if one != leader.name)
-    cluster.cuts = {(leader.name, deaf)}
+    cluster.partitions = {(leader.name, deaf)}
     cluster.run(10.0)
     assert cluster.leader() is leader
     assert leader.node.replica.term == term
@@ -170,7 +170,7 @@
     new = cluster.leader()
     assert new is not None
     assert new is not old
-    assert not old.leads
+    assert not old.is_leader
 
 
 def test_late_hand_over_deposes_nobody() -> None:
@@ -210,7 +210,7 @@
     accept(cluster, "b", 1)
     answers: list[FollowReply] = []
     old.frozen_until = cluster.now
-    old.ask(FollowRequest("entry-0", 0), answers.append)
+    old.query(FollowRequest("entry-0", 0), answers.append)
     cluster.run(5.0)
     assert [one.current for one in answers] == [False]
 
@@ -234,7 +234,7 @@
         5.0,
     )
     for name in cluster.names:
-        cluster.cuts |= {(silent.name, name), (name, silent.name)}
+        cluster.partitions |= {(silent.name, name), (name, silent.name)}
     if leader_dies:
         old = cluster.leader()
         assert old is not None
@@ -262,8 +262,8 @@
     for name in cluster.names:
         if name == old.name:
             continue
-        cluster.cuts |= {(old.name, name), (name, old.name)}
-        cluster.cuts |= {("entry-new", name), (name, "entry-new")}
+        cluster.partitions |= {(old.name, name), (name, old.name)}
+        cluster.partitions |= {("entry-new", name), (name, "entry-new")}
     cluster.entries.append(FakeEntry(cluster, "entry-new", 2))
     cluster.run(4.0)
     accept(cluster, "b", 1)
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -2,8 +2,8 @@
 
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
-from nutmegchute_core.voters import GONE_S
 from nutmegchute_core.voters import next_voters
+from nutmegchute_core.voters import VOTER_TIMEOUT_S
 
 
 def group(voters: str, learners: str = "") -> Membership:
@@ -20,7 +20,7 @@
     leaving: str = "",
 ) -> list[str]:
     """Change voters until nothing is due; list them after each step."""
-    silent_s = dict.fromkeys(gone, GONE_S)
+    silent_s = dict.fromkeys(gone, VOTER_TIMEOUT_S)
     steps: list[str] = []
     while len(steps) < 9:
         after = next_voters(membership, silent_s, set(caught_up), set(leaving))
