--- a/tests/test_balancers_stateful.py
+++ b/tests/test_balancers_stateful.py
@@ -235,7 +235,8 @@
     def slots_are_respected(self) -> None:
         """Check that no endpoint process has more attempts than slots.
 
-        An endpoint that was removed and comes back counts as another.
+        An endpoint whose lease expired is removed; if it comes back, it
+        counts as another.
         """
         counts = Counter(
             call.sent[attempt]
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Test that extra sends and probes stay within what was agreed."""
+"""Test that extra sends and probes stay within their budgets."""
 
 import hypothesis.strategies as st
 from hypothesis import given
@@ -16,7 +16,7 @@
 def test_no_second_holds_more_than_the_share(
     rate: float, entries: int, gaps: list[float]
 ) -> None:
-    """Ask at any times; every second's probes stay within the share."""
+    """In any second, the probes stay within the entry's share."""
     budget = ProbeBudget(rate, entries)
     now = 0.0
     spent = []
@@ -30,21 +30,21 @@
 
 
 def test_new_configuration_does_not_refill_the_probe_budget() -> None:
-    """Restarting the count at each change would allow a probe for each.
+    """A change of configuration does not allow an additional probe.
 
-    With 1,100 changes a day, and many at once when teams apply together,
-    probes would exceed the budget just when operators are at work.
+    If each change refilled the budget, probes would exceed it when many
+    are applied at once, at 1,100 changes a day.
     """
     budget = ProbeBudget(1.0, 1)
     assert budget.spend(5.0)
-    follower = ProbeBudget(1.0, 1)
-    follower.continue_from(budget)
-    assert not follower.spend(5.5)
-    assert follower.spend(6.1)
+    successor = ProbeBudget(1.0, 1)
+    successor.continue_from(budget)
+    assert not successor.spend(5.5)
+    assert successor.spend(6.1)
 
 
 def test_no_budget_means_no_probe() -> None:
-    """A service without a probe budget is never probed."""
+    """Without a budget no probe is sent."""
     budget = ProbeBudget(0.0, 17)
     assert budget.next_at is None
     assert not budget.spend(100.0)
@@ -52,7 +52,7 @@
 
 @given(st.lists(st.sampled_from(("earn", "retry", "hedge")), max_size=300))
 def test_extra_sends_never_exceed_the_share(steps: list[str]) -> None:
-    """Earn and spend in any order; the tokens never fall below zero."""
+    """Whatever the order of earning and spending, tokens stay in bounds."""
     budget = ExtraBudget()
     spent = 0
     for step in steps:
@@ -68,7 +68,7 @@
 
 
 def test_hedges_leave_a_reserve_for_retries() -> None:
-    """When hedges have taken theirs, a failed call still gets a retry."""
+    """After all possible hedges, a failed call still gets a retry."""
     budget = ExtraBudget()
     for _ in range(100):
         budget.earn()
@@ -78,11 +78,11 @@
     assert budget.spend_retry()
 
 
-def test_first_tries_leave_retries_to_callers_that_came_back() -> None:
-    """Spend scarce retries on calls whose caller may not come again.
+def test_first_tries_leave_retries_to_returning_callers() -> None:
+    """Scarce retries are reserved for callers that may not retry again.
 
-    Every endpoint sheds half of its calls. A caller that is refused at its
-    first try comes back at once; refused at its second it gives up.
+    Every endpoint sheds half of its calls. A caller that is refused on its
+    first try retries at once; refused on its second try it gives up.
     """
     budget = ExtraBudget()
     budget.limit(0.2, 4.0)
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -1,4 +1,4 @@
-"""Ask endpoints before a call is sent, where neighbours stretch work."""
+"""Test load queries before a call is sent, on vms with other load."""
 
 from typing import Any
 
@@ -25,8 +25,8 @@
 
 SERVICE = "prestamos"
 ZONE = "surco"
-NEAR = [f"10.3.0.{n}:80" for n in range(1, 6)]
-FAR = [f"10.1.0.{n}:80" for n in range(1, 4)]
+LOCAL = [f"10.3.0.{n}:80" for n in range(1, 6)]
+REMOTE = [f"10.1.0.{n}:80" for n in range(1, 4)]
 
 
 def rule(**values: Any) -> Any:
@@ -45,12 +45,12 @@
 
 
 def build(*off: str, slots: int = 3) -> Balancer:
-    """Build an entry's balancer whose endpoints tell how long work takes."""
+    """Build a balancer whose endpoints report how long work takes."""
     balancer = Balancer(7, ZONE, Policy(*off))
     balancer.configure({SERVICE: Service(SERVICE, {})}, 0.0)
     balancer.limit_inquiries(60.0, 0.5)
     live = []
-    for zone, addresses in ((ZONE, NEAR), ("lima", FAR)):
+    for zone, addresses in ((ZONE, LOCAL), ("lima", REMOTE)):
         for address in addresses:
             live.append(Announcement(SERVICE, address, zone, slots, 1))
     balancer.update_upstreams(live, 0.0)
@@ -67,50 +67,50 @@
     return balancer
 
 
-def asked(actions: list[Action]) -> list[str]:
-    """List the endpoints that are asked."""
+def queried(actions: list[Action]) -> list[str]:
+    """Return the endpoints that are queried."""
     return [one.endpoint for one in actions if isinstance(one, Probe)]
 
 
-def sent(actions: list[Action]) -> list[str]:
-    """List the endpoints that a call is sent to."""
+def sent_to(actions: list[Action]) -> list[str]:
+    """Return the endpoints that calls are sent to."""
     return [one.endpoint for one in actions if isinstance(one, Send)]
 
 
 def test_call_goes_where_work_takes_its_usual_time() -> None:
-    """Pass over an endpoint whose neighbours stretch work.
+    """Skip an endpoint that is slowed down by other load on its vm.
 
-    A quarter of the endpoints work five times as long for 150 ms at a
-    time, and a call keeps the pace it begins with. Sent by what was heard
-    a second ago, every fourth call would be late.
+    A quarter of the endpoints are five times slower for 150 ms at a time,
+    and a call keeps the speed at which it starts. Sent by reports that are
+    a second old, every fourth call would be late.
     """
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    (first,) = asked(actions)
-    assert sent(actions) == []
+    (first,) = queried(actions)
+    assert sent_to(actions) == []
     actions = balancer.record_probe(SERVICE, first, 0, 0.001, 5.001, 5.0)
-    (second,) = asked(actions)
-    assert sent(actions) == []
+    (second,) = queried(actions)
+    assert sent_to(actions) == []
     actions = balancer.record_probe(SERVICE, second, 1, 0.001, 5.002, 1.0)
-    assert sent(actions) == [second]
+    assert sent_to(actions) == [second]
 
 
-def test_without_inquiries_the_call_goes_by_old_news() -> None:
-    """Send at once where asking is switched off."""
+def test_without_inquiries_the_call_is_sent_at_once() -> None:
+    """Send at once if load queries are switched off."""
     balancer = build("inquiries")
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    assert asked(actions) == []
-    assert len(sent(actions)) == 1
+    assert queried(actions) == []
+    assert len(sent_to(actions)) == 1
 
 
-def test_others_are_asked_where_the_first_do_not_suit() -> None:
-    """Ask all of the zone, then elsewhere, then hold the call."""
+def test_other_endpoints_are_queried_in_turn() -> None:
+    """Query the zone's endpoints, then others, then hold the call."""
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     seen: list[str] = []
     now = 5.0
-    while asked(actions):
-        found = asked(actions)
+    while queried(actions):
+        found = queried(actions)
         assert not set(found) & set(seen)
         seen += found
         for address in found:
@@ -118,76 +118,76 @@
             actions = balancer.record_probe(
                 SERVICE, address, 0, 0.001, now, 5.0
             )
-    assert set(seen[:5]) == set(NEAR)
-    assert set(seen[5:]) == set(FAR)
-    assert sent(actions) == []
+    assert set(seen[:5]) == set(LOCAL)
+    assert set(seen[5:]) == set(REMOTE)
+    assert sent_to(actions) == []
 
 
 def test_silent_endpoints_hold_a_call_for_a_while_only() -> None:
-    """Send by what is known when no answer comes to any question."""
+    """Send the call by old reports when no query is answered."""
     balancer = build()
     balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
     actions: list[Action] = []
-    while not sent(actions) and now < 6.0:
+    while not sent_to(actions) and now < 6.0:
         now += QUERY_TIMEOUT_S
         actions = balancer.tick(now)
-    assert sent(actions)
+    assert sent_to(actions)
     assert now < 5.3
 
 
 def test_call_is_held_until_an_answer_tells_of_room() -> None:
-    """Hold a call while every endpoint is crowded, then send it at once.
+    """Hold a call while every endpoint is congested, then send it at once.
 
-    Endpoints slow down when nearly full: sent on regardless, calls would
-    all take longer and the service would get less done. The answer to
-    another call tells of a free slot; the held call goes there.
+    Endpoints slow down when nearly full: with more calls sent, all would
+    take longer and throughput would fall. The report on the answer to
+    another call shows a free slot, and the held call is sent there.
     """
     balancer = build()
     first, actions = balancer.arrive_with_rule(SERVICE, rule(), 4.9)
-    address = asked(actions)[0]
+    address = queried(actions)[0]
     actions = balancer.record_probe(SERVICE, address, 0, 0.001, 4.9, 1.0)
     send = next(one for one in actions if isinstance(one, Send))
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    while asked(actions):
-        for one in asked(actions):
+    while queried(actions):
+        for one in queried(actions):
             actions = balancer.record_probe(SERVICE, one, 5, 0.001, 5.001, 1.0)
-    assert sent(actions) == []
+    assert sent_to(actions) == []
     result = Result(first, send.attempt, ANSWERED, 0.12, 0, stretch=1.0)
-    assert sent(balancer.finish(result, 5.02)) == [address]
+    assert sent_to(balancer.finish(result, 5.02)) == [address]
 
 
-def test_fresh_answer_serves_the_next_call() -> None:
-    """Ask nobody while an endpoint is known to be free and at pace."""
+def test_fresh_report_serves_the_next_call() -> None:
+    """Send no query while a report shows a free slot at usual speed."""
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    free = asked(actions)[0]
+    free = queried(actions)[0]
     balancer.record_probe(SERVICE, free, 0, 0.001, 5.001, 1.0)
     _, actions = balancer.arrive_with_rule(
         SERVICE, rule(), 5.001 + FRESH_S / 2
     )
-    assert asked(actions) == []
-    assert sent(actions) == [free]
+    assert queried(actions) == []
+    assert sent_to(actions) == [free]
 
 
-def test_endpoints_that_tell_nothing_are_not_asked() -> None:
-    """Leave a health path alone that waits for a slot as any call does."""
+def test_endpoints_without_load_reports_are_not_queried() -> None:
+    """Do not query a health path that waits for a slot as any call does."""
     balancer = Balancer(7, ZONE)
     balancer.configure({SERVICE: Service(SERVICE, {})}, 0.0)
     balancer.limit_inquiries(60.0, 1.0)
-    live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in NEAR]
+    live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in LOCAL]
     balancer.update_upstreams(live, 0.0)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 0.0)
-    probe = asked(actions)
+    probe = queried(actions)
     assert len(probe) == 1
     balancer.record_probe(SERVICE, probe[0], 1, 0.001, 0.01, None)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 1.0)
-    assert asked(actions) == []
-    assert len(sent(actions)) == 1
+    assert queried(actions) == []
+    assert len(sent_to(actions)) == 1
 
 
-def test_questions_stay_below_what_upstreams_allow() -> None:
-    """Spend no more than an entry's share in any second."""
+def test_queries_stay_within_the_share() -> None:
+    """Spend no more than the entry's share in any second."""
     budget = InquiryBudget()
     budget.limit(30.0)
     spent: list[float] = []
@@ -202,30 +202,31 @@
 
 
 def test_zone_first_while_the_objective_allows() -> None:
-    """Stay in the zone for a call in time, leave it for one that is late.
+    """Leave the zone only for a call that would miss its objective there.
 
-    A zone's clients have moved here and its endpoints are full: there a
-    call would wait beyond its objective, elsewhere slots are free.
+    Another zone's clients have moved here, and the endpoints of this zone
+    are full: a call would wait beyond its objective. Other zones have free
+    slots.
     """
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
-    while asked(actions):
-        for address in asked(actions):
+    while queried(actions):
+        for address in queried(actions):
             now += 0.0005
-            load = 9 if address in NEAR else 0
+            load = 9 if address in LOCAL else 0
             actions = balancer.record_probe(
                 SERVICE, address, load, 0.001, now, 1.0
             )
-    assert set(sent(actions)) <= set(FAR)
+    assert set(sent_to(actions)) <= set(REMOTE)
 
 
 def test_slowdown_of_nearly_full_endpoints_is_learned() -> None:
-    """Keep away from nearly full endpoints only where it costs time.
+    """Avoid nearly full endpoints only if they are known to slow down.
 
-    One deployment's endpoints take 1.7 times as long with all slots taken,
-    the other's do not. Kept away from these from the start, calls would
-    wait for free endpoints with half of the slots empty.
+    Endpoints of one deployment take 1.7 times as long with all slots in
+    use, those of another do not. If these were avoided from the start,
+    calls would wait for free endpoints with half of the slots empty.
     """
     slowing = Fullness()
     steady = Fullness()
@@ -240,7 +241,7 @@
 
 
 def test_slowdown_is_tried_again() -> None:
-    """Forget a slowdown that nothing can contradict any more."""
+    """Let an estimated slowdown decay when calls avoid nearly full ones."""
     fullness = Fullness()
     for _ in range(20):
         fullness.record(True, 1.6)
@@ -251,50 +252,51 @@
     assert not fullness.is_significant
 
 
-def test_retry_looks_for_room_by_itself() -> None:
-    """Ask for a retry although no other call's answer tells of room.
+def test_retry_sends_its_own_queries() -> None:
+    """Query for a retry without waiting for another call's answer.
 
-    At a quiet entry one call's endpoint breaks off. Nobody else's answer
-    comes; held until one did, the retry would wait for its deadline.
+    At an entry with few calls, an endpoint fails during one. No answer to
+    another call shows a free slot, so a held retry would wait until its
+    deadline.
     """
     balancer = build()
     call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    address = asked(actions)[0]
+    address = queried(actions)[0]
     actions = balancer.record_probe(SERVICE, address, 0, 0.001, 5.001, 1.0)
     send = next(one for one in actions if isinstance(one, Send))
     lost = Result(call_id, send.attempt, LOST, 0.05)
     actions = balancer.finish(lost, 5.05)
-    if not asked(actions):
+    if not queried(actions):
         at = balancer.next_wakeup()
         assert at is not None and at < 5.1
         actions = balancer.tick(5.06)
-    other = asked(actions)[0]
+    other = queried(actions)[0]
     assert other != address
     actions = balancer.record_probe(SERVICE, other, 0, 0.001, 5.061, 1.0)
-    assert sent(actions) == [other]
+    assert sent_to(actions) == [other]
 
 
-def test_call_that_may_ask_nobody_is_not_held() -> None:
-    """Send by what is known where the questions are used up.
+def test_call_is_not_held_where_no_query_is_allowed() -> None:
+    """Send a call by old reports where no query is allowed.
 
-    A burst has spent the entry's questions. The call cannot find out where
-    there is room, and no answer may come soon that tells.
+    The call cannot find a free slot by a query, and it may take long until
+    the answer to another call shows one.
     """
     balancer = build()
     balancer.limit_inquiries(0.0, 0.5)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    assert asked(actions) == []
-    assert len(sent(actions)) == 1
+    assert queried(actions) == []
+    assert len(sent_to(actions)) == 1
 
 
 def arrive(
     balancer: Balancer,
     now: float,
-    near_load: int,
-    far_load: int,
+    local_load: int,
+    remote_load: int,
     deadline_s: float | None = None,
 ) -> list[Send]:
-    """Let a call arrive while endpoints tell these loads."""
+    """Submit a call while endpoints report these loads."""
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), now, deadline_s)
     sends = []
     while actions:
@@ -303,15 +305,15 @@
             sends.append(action)
         if not isinstance(action, Probe):
             continue
-        load = near_load if action.endpoint in NEAR else far_load
+        load = local_load if action.endpoint in LOCAL else remote_load
         actions += balancer.record_probe(
             SERVICE, action.endpoint, load, 0.001, now, 1.0
         )
     return sends
 
 
-def teach_slowdown(balancer: Balancer, factor: float) -> None:
-    """Show that work takes longer at endpoints that are nearly full."""
+def record_slowdown(balancer: Balancer, factor: float) -> None:
+    """Record answers that take longer at nearly full endpoints."""
     now = 1.0
     for turn in range(40):
         now += 0.5
@@ -323,79 +325,79 @@
 
 
 def test_slow_last_slot_yields_to_a_free_one_elsewhere() -> None:
-    """Leave the zone where its endpoints have only slow slots left.
+    """Leave the zone if its endpoints have only slow last slots left.
 
-    One availability zone has a third of the callers and a quarter of the
-    endpoints. All but the last slots there are taken, in which work takes
-    1.7 times as long: every eighth call would be late. Elsewhere is room.
+    The zone has a third of the callers and a quarter of the endpoints. Work
+    takes 1.7 times as long in its last slots, and every eighth call would
+    be late, while other zones have free slots.
     """
     balancer = build()
-    teach_slowdown(balancer, 1.7)
+    record_slowdown(balancer, 1.7)
     (send,) = arrive(balancer, 50.0, 2, 0)
-    assert send.endpoint in FAR
+    assert send.endpoint in REMOTE
 
 
 def test_slow_last_slot_is_better_than_waiting() -> None:
-    """Take a last slot in which the call can still be in time.
+    """Use a last slot in which the call still meets its objective.
 
-    Every endpoint in every zone is nearly full. Held until one tells of
-    more room, calls would wait while a third of the slots stood empty.
+    Every endpoint in every zone is nearly full. If calls were held until
+    one has a free slot, a third of the slots would be empty.
     """
     balancer = build()
-    teach_slowdown(balancer, 1.7)
+    record_slowdown(balancer, 1.7)
     assert len(arrive(balancer, 50.0, 2, 2)) == 1
 
 
-def test_slow_last_slot_is_not_for_those_late_there() -> None:
-    """Hold a call that would miss its objective in a slow slot.
+def test_slow_last_slot_is_not_used_by_calls_late_there() -> None:
+    """Hold a call that would miss its objective in a slow last slot.
 
-    Work takes three times as long in a last slot: the call would be late
-    and keep the slot for as long as two calls in time.
+    Work takes three times as long there: the call would be late and occupy
+    the slot for as long as two calls in time.
     """
     balancer = build()
-    teach_slowdown(balancer, 2.9)
+    record_slowdown(balancer, 2.9)
     assert arrive(balancer, 50.0, 2, 2) == []
 
 
 def test_zone_is_kept_until_a_slowdown_is_known() -> None:
-    """Look for a better slot in the zone only, while little is known."""
+    """Stay in the zone while a slowdown of last slots is not yet known."""
     balancer = build()
     (send,) = arrive(balancer, 50.0, 2, 0)
-    assert send.endpoint in NEAR
+    assert send.endpoint in LOCAL
 
 
 def test_zone_is_kept_where_last_slots_are_as_good() -> None:
-    """Send no bytes to other zones for a slowdown that is not there."""
+    """Stay in the zone if its last slots are not slower."""
     balancer = build()
-    teach_slowdown(balancer, 1.0)
+    record_slowdown(balancer, 1.0)
     (send,) = arrive(balancer, 50.0, 2, 0)
-    assert send.endpoint in NEAR
+    assert send.endpoint in LOCAL
 
 
 def test_held_call_learns_of_room_in_another_zone() -> None:
-    """Ask outside the zone for a call that is held.
+    """Query other zones for a call that is held.
 
-    A zone with a third of the callers has lost most of its endpoints. Each
-    answer frees a slot there and the next call takes it; asked first, those
-    endpoints would use up the questions, and calls would be refused while
-    other zones have room.
+    A zone with a third of the callers has lost most of its endpoints, and
+    each slot freed there is used by the next call. Local queries would use
+    up the budget, and calls would be refused while other zones have free
+    slots.
     """
     balancer = build()
-    teach_slowdown(balancer, 1.7)
+    record_slowdown(balancer, 1.7)
     assert arrive(balancer, 50.0, 9, 3) == []
     actions = balancer.tick(50.0 + REQUERY_S)
-    assert set(asked(actions)) <= set(FAR)
-    address = asked(actions)[0]
+    assert set(queried(actions)) <= set(REMOTE)
+    address = queried(actions)[0]
     actions = balancer.record_probe(SERVICE, address, 0, 0.001, 50.06, 1.0)
-    assert sent(actions) == [address]
+    assert sent_to(actions) == [address]
 
 
 def test_late_call_leaves_a_slot_to_those_in_time() -> None:
-    """Serve newcomers in time while many late calls are waiting.
+    """Serve new calls in time while many late calls are waiting.
 
-    After a loss of power callers come back all at once, late already. Were
-    they to take every slot, each call that comes then would wait for one
-    and be late as well, long after the cause has gone.
+    After a power loss all callers retry at once, already late. If they took
+    every slot, each later call would wait and be late too, long after the
+    cause is gone.
     """
     balancer = build()
     first = arrive(balancer, 49.0, 0, 0, 2.5)
@@ -406,82 +408,84 @@
 
 
 def test_burst_that_uses_up_the_questions_sends_nothing_blindly() -> None:
-    """Hold calls for the moment until a question may be asked again.
+    """Hold calls until the query budget allows the next query.
 
-    Half of the endpoints are gone and a burst has used up the questions.
-    Sent to endpoints that nobody has looked at, calls would fill their
-    queues, and every later answer would be bad: the load stays too high
-    for good although there is room for all.
+    Half of the endpoints are gone and a burst has used up the budget. Calls
+    sent without a query would fill the endpoints' queues, and each later
+    query would find them full: the overload would last although there are
+    slots for all calls.
     """
     balancer = build()
     balancer.limit_inquiries(1.0, 0.5)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 50.0)
-    assert asked(actions)
+    assert queried(actions)
     for number in range(5):
         now = 50.001 + number / 1000
         _, actions = balancer.arrive_with_rule(SERVICE, rule(), now)
-        assert sent(actions) == []
+        assert sent_to(actions) == []
     for step in range(40):
         actions = balancer.tick(50.02 + step / 50)
-        if asked(actions):
+        if queried(actions):
             break
-    assert asked(actions)
+    assert queried(actions)
 
 
-def test_late_call_goes_where_endpoints_have_one_slot() -> None:
-    """Leave no slot to others where the only one would be left for good."""
+def test_late_call_uses_the_only_slot_of_an_endpoint() -> None:
+    """A late call uses an endpoint's only slot, which is never reserved."""
     balancer = build(slots=1)
     assert len(arrive(balancer, 49.0, 0, 0, 2.5)) == 1
     assert len(arrive(balancer, 50.0, 0, 0, 1.6)) == 1
 
 
-def untold(balancer: Balancer, now: float) -> tuple[int, list[Action]]:
-    """Let a call arrive; questions are answered without a load."""
+def arrive_without_load(
+    balancer: Balancer, now: float
+) -> tuple[int, list[Action]]:
+    """Submit a call; queries are answered without a load."""
     call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), now)
-    for address in asked(actions):
+    for address in queried(actions):
         actions = balancer.record_probe(
             SERVICE, address, None, 0.008, now + 0.008, None, True
         )
     return call_id, actions
 
 
-def build_untold() -> Balancer:
-    """Build an entry's balancer whose endpoints tell nothing."""
+def build_without_load() -> Balancer:
+    """Build a balancer whose endpoints do not report their load."""
     balancer = Balancer(7, ZONE)
     balancer.configure({SERVICE: Service(SERVICE, {})}, 0.0)
     balancer.limit_inquiries(60.0, 1.0)
-    live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in NEAR]
+    live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in LOCAL]
     balancer.update_upstreams(live, 0.0)
     return balancer
 
 
 def test_health_answer_without_a_load_silences_nobody() -> None:
-    """Send on after a question whose answer tells nothing, and ask no more.
+    """Send the call after an answer without a load, and stop queries.
 
-    A service does not tell its load. Its endpoint answers at the health
-    path; taken for a failure, that answer kept calls away from it, and each
-    call asked one endpoint after the other and waited.
+    Endpoints of a service answer at the health path without a load. Counted
+    as a failure, the answer would keep calls away, and each call would wait
+    while it queries one endpoint after the other.
     """
-    balancer = build_untold()
-    _, actions = untold(balancer, 0.0)
-    assert len(sent(actions)) == 1
+    balancer = build_without_load()
+    _, actions = arrive_without_load(balancer, 0.0)
+    assert len(sent_to(actions)) == 1
     for number in range(1, 4):
-        call_id, actions = untold(balancer, float(number))
-        assert asked(actions) == []
-        assert len(sent(actions)) == 1
+        call_id, actions = arrive_without_load(balancer, float(number))
+        assert queried(actions) == []
+        assert len(sent_to(actions)) == 1
         balancer.finish(Result(call_id, 1, ANSWERED, 0.1), number + 0.1)
 
 
 def test_endpoint_that_sheds_without_a_load_is_not_ejected() -> None:
-    """Hold an endpoint that says "not run" for busy, not for broken.
+    """Treat an endpoint that answers "not run" as busy, not as broken.
 
-    Endpoints that do not tell their load shed in a burst. Counted as
-    failures, three of them took an endpoint out for half a second, and the
-    others got its calls.
+    Endpoints that do not report their load shed in a burst. Counted as
+    failures, three such answers would eject an endpoint for half a second,
+    and the others would get its calls.
     """
-    balancer = build_untold()
+    balancer = build_without_load()
     for number in range(40):
-        call_id, actions = untold(balancer, float(number))
+        call_id, actions = arrive_without_load(balancer, float(number))
         now = number + 0.002
         while actions:
             action = actions.pop()
@@ -496,24 +500,26 @@
     assert not [one for one in endpoints if one.is_unreachable(39.01)]
 
 
-def test_pace_told_once_is_asked_for_until_answers_fall_silent() -> None:
-    """Go on asking after a few answers without a load, not for ever."""
+def test_queries_end_after_answers_without_load() -> None:
+    """Stop queries only after several answers in a row without a load."""
     balancer = build()
     for number in range(MAX_UNREPORTED):
         _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0 + number)
-        assert len(asked(actions)) == 1
+        assert len(queried(actions)) == 1
         balancer.record_probe(
-            SERVICE, asked(actions)[0], None, 0.001, 5.0 + number, None, True
+            SERVICE, queried(actions)[0], None, 0.001, 5.0 + number, None, True
         )
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 50.0)
-    assert asked(actions) == []
+    assert queried(actions) == []
 
 
-def crowd(balancer: Balancer, now: float) -> tuple[int, list[Action]]:
-    """Let a call arrive while every endpoint says that it is full."""
+def arrive_while_full(
+    balancer: Balancer, now: float
+) -> tuple[int, list[Action]]:
+    """Submit a call while every endpoint reports that it is full."""
     call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), now, 1.2)
-    while asked(actions):
-        for address in asked(actions):
+    while queried(actions):
+        for address in queried(actions):
             actions = balancer.record_probe(
                 SERVICE, address, 9, 0.001, now, 1.0
             )
@@ -521,35 +527,35 @@
 
 
 def test_no_call_is_held_beside_one_that_waits_late() -> None:
-    """Send a call back at once where another has waited too long already.
+    """Refuse a call at once while a late one is waiting.
 
-    More comes than the endpoints can take. Calls in time go first, so one
-    that is late waits until its deadline; held beside it, the next ones
-    would become late as well, and be told "not run" when nothing is left.
+    Under overload calls in time go first, and a late one waits until its
+    deadline. Further held calls would become late too and get "not run"
+    with no time left to retry.
     """
     balancer = build()
-    _, actions = crowd(balancer, 5.0)
-    assert sent(actions) == []
-    _, actions = crowd(balancer, 5.3)
+    _, actions = arrive_while_full(balancer, 5.0)
+    assert sent_to(actions) == []
+    _, actions = arrive_while_full(balancer, 5.3)
     (refusal,) = [one for one in actions if isinstance(one, Refuse)]
     assert refusal.retry_after_s == CROWDED_RETRY_S
 
 
 def test_late_call_waits_only_alone() -> None:
-    """End the wait of a call that has become late beside another.
+    """Refuse a held call that becomes late while another is waiting.
 
-    Two calls came at one moment and found no room. A tenth of a second
-    later both are late; one of them is told to come back.
+    Two calls arrive at the same time and find no free slot. A tenth of a
+    second later both are late, and one of them is refused.
     """
     balancer = build()
-    crowd(balancer, 5.0)
-    crowd(balancer, 5.0)
+    arrive_while_full(balancer, 5.0)
+    arrive_while_full(balancer, 5.0)
     refused: list[Refuse] = []
     while not refused:
         now = balancer.next_wakeup()
         assert now is not None and now < 5.5
         actions = balancer.tick(now)
-        for address in asked(actions):
+        for address in queried(actions):
             actions += balancer.record_probe(
                 SERVICE, address, 9, 0.001, now, 1.0
             )
@@ -558,18 +564,17 @@
     assert balancer.in_flight == 1
 
 
-def test_nothing_is_hedged_where_nothing_is_told() -> None:
-    """Send a late call once where nobody knows of room to spare.
+def test_no_hedge_without_load_reports() -> None:
+    """Send no hedges if endpoints do not report their load.
 
-    A service does not tell its load and half of its slots are slow. A
-    second send for each late call takes the slots of others, which are
-    late in their turn.
+    Half of the slots are slow. A hedge for each late call would take the
+    slots of other calls and make these late in turn.
     """
-    balancer = build_untold()
-    call_id, actions = untold(balancer, 0.0)
+    balancer = build_without_load()
+    call_id, actions = arrive_without_load(balancer, 0.0)
     balancer.finish(Result(call_id, 1, ANSWERED, 0.1), 0.1)
-    untold(balancer, 1.0)
+    arrive_without_load(balancer, 1.0)
     sends = []
     while (now := balancer.next_wakeup()) is not None and now < 2.0:
-        sends += sent(balancer.tick(now))
+        sends += sent_to(balancer.tick(now))
     assert sends == []
--- a/tests/test_latencies.py
+++ b/tests/test_latencies.py
@@ -1,4 +1,4 @@
-"""Test the estimates of latency that cost no memory."""
+"""Test the latency estimates."""
 
 from random import Random
 
@@ -6,8 +6,8 @@
 from nutmegchute_core.latencies import Quantile
 
 
-def test_quantile_comes_near_the_true_one() -> None:
-    """The hedge delay settles where about 8 in 100 answers are later."""
+def test_quantile_converges() -> None:
+    """The hedge delay converges to where 8 of 100 answers are later."""
     random = Random(7)
     quantile = Quantile(0.92)
     later = 0
@@ -20,7 +20,10 @@
 
 
 def test_quantile_follows_a_slowdown() -> None:
-    """When all get five times slower, hedges do not run wild for long."""
+    """If all answers get five times slower, the estimate follows soon.
+
+    Until then every call counts as late and would be hedged.
+    """
     quantile = Quantile(0.92)
     for _ in range(200):
         quantile.record(0.02)
@@ -31,8 +34,8 @@
     assert late < 40
 
 
-def test_mean_takes_the_first_value_whole() -> None:
-    """A guess made before any answer does not linger."""
+def test_mean_starts_with_the_first_value() -> None:
+    """The initial estimate is replaced by the first value."""
     mean = Mean(99.0)
     mean.record(0.02)
     assert abs(mean.value - 0.02) < 1e-9
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,11 +1,11 @@
-"""Test the window that bounds one entry's calls in flight."""
+"""Test the window that limits one entry's calls in flight."""
 
 from nutmegchute_core.limits import MIN_SHARE
 from nutmegchute_core.limits import SHRINK_FACTOR
 from nutmegchute_core.limits import Window
 
 
-def grown() -> Window:
+def build_window() -> Window:
     """Build a window for an equal share of 8 slots."""
     window = Window()
     window.set_share(8.0, 2)
@@ -13,29 +13,32 @@
 
 
 def test_shrinks_once_per_pause() -> None:
-    """One congested spell is answered once, not at each of its reports.
+    """The window shrinks once per congestion, not on each report.
 
-    Every answer of a spell reports it; shrinking at each would bring an
-    entry to its least within a few milliseconds and idle the slots.
+    While an endpoint is congested every answer reports it. Shrinking on
+    each would reach the minimum within milliseconds and leave slots idle.
     """
-    window = grown()
+    window = build_window()
     before = window.size
     for _ in range(5):
         window.record(crowded=True, in_flight=16, now=1.0, pause_s=0.02)
     assert window.size == before * SHRINK_FACTOR
 
 
-def test_never_falls_below_its_part_of_the_share() -> None:
-    """Endpoints that report high loads for ever do not stop an entry."""
-    window = grown()
+def test_never_falls_below_the_minimum() -> None:
+    """Constant congestion does not shrink the window below its minimum."""
+    window = build_window()
     for step in range(500):
         window.record(crowded=True, in_flight=9, now=float(step), pause_s=0.1)
     assert window.size == 8.0 * MIN_SHARE
 
 
 def test_grows_only_while_in_use() -> None:
-    """A quiet night does not open the window for the morning's rush."""
-    window = grown()
+    """The window does not grow while few calls are in flight.
+
+    Otherwise it would be far too large when the load rises again.
+    """
+    window = build_window()
     before = window.size
     window.record(crowded=False, in_flight=0, now=1.0, pause_s=0.1)
     assert window.size == before
@@ -44,7 +47,7 @@
 
 
 def test_first_endpoint_opens_the_window() -> None:
-    """An entry that starts before any upstream is not left at one call."""
+    """The first endpoint sets the window of an entry that started alone."""
     window = Window()
     window.set_share(0.0, 0)
     assert window.size == 1.0
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,16 +1,16 @@
-"""Hold calls after a process stood still."""
+"""Test that calls are held after a pause of the process."""
 
 from nutmegchute_core.pauses import HOLD_S
 from nutmegchute_core.pauses import PAUSE_S
 from nutmegchute_core.pauses import PauseDetector
 
 
-def test_calls_are_held_until_a_replica_was_heard() -> None:
-    """Hold calls of a process that wakes with old endpoints.
+def test_calls_are_held_until_a_replica_answers() -> None:
+    """Hold calls of a process that resumes with outdated endpoints.
 
-    A vm is frozen for three seconds. An endpoint says meanwhile that it
-    leaves, and is told that this is known. The vm wakes with a caller's
-    request before it; sent by what was known, it would reach the endpoint.
+    A vm is frozen for three seconds, during which an endpoint's drain is
+    acknowledged. A caller's request is waiting when the vm resumes, and
+    without a hold it would be sent to that endpoint.
     """
     pause = PauseDetector(0.0)
     assert pause.observe(0.1) is None
@@ -21,8 +21,8 @@
     assert not pause.is_holding(3.21)
 
 
-def test_lost_replica_holds_calls_for_a_moment_only() -> None:
-    """Go on without a replica that does not answer."""
+def test_lost_replica_holds_calls_only_briefly() -> None:
+    """An unreachable replica does not hold calls for long."""
     pause = PauseDetector(0.0)
     pause.observe(PAUSE_S + 0.1)
     assert pause.is_holding(PAUSE_S + HOLD_S)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,11 +1,11 @@
-"""Test who waits for whom."""
+"""Test the order of waiting calls."""
 
 from nutmegchute_core.queues import PRIORITY_DELAY_S
 from nutmegchute_core.queues import WaitQueue
 
 
 def drain(queue: WaitQueue) -> list[int]:
-    """Take every call in turn."""
+    """Remove all calls; return them in order."""
     found: list[int] = []
     while True:
         call_id = queue.peek()
@@ -16,11 +16,10 @@
 
 
 def test_background_yields_but_ages() -> None:
-    """Under steady pressure a nightly sync still arrives.
+    """A background call is not starved under constant load.
 
-    It yields to every lookup that comes within its head start and goes
-    before those that come later; strict priority would starve it for as
-    long as patrons keep asking.
+    It yields to every lookup that arrives within its delay and goes before
+    later ones. Strict priority would starve it as long as lookups arrive.
     """
     queue = WaitQueue()
     queue.push(1, "background", 0.0)
@@ -30,15 +29,15 @@
 
 
 def test_a_retry_keeps_its_place() -> None:
-    """A call that comes back counts from its arrival, not from now."""
+    """A retry is ordered by the arrival of its call."""
     queue = WaitQueue()
     queue.push(1, "interactive", 1.0)
     queue.push(2, "interactive", 0.5)
     assert drain(queue) == [2, 1]
 
 
-def test_counts_ahead_leave_out_lower_priorities() -> None:
-    """A lookup is not refused on account of waiting syncs."""
+def test_count_ahead_excludes_lower_priorities() -> None:
+    """Waiting calls of lower priority do not count."""
     queue = WaitQueue()
     queue.push(1, "background", 0.0)
     queue.push(2, "action", 0.0)
@@ -52,7 +51,7 @@
 
 
 def test_late_calls_do_not_count_ahead_of_one_in_time() -> None:
-    """Refuse no call in time on account of late ones, which go after it."""
+    """Late calls, which go after a call in time, do not count for it."""
     queue = WaitQueue()
     for call_id in range(5):
         queue.push(call_id, "interactive", 0.0, late_at=0.3)
