--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -1,4 +1,4 @@
-"""Keep, on one entry, suspects apart from the calls that simply go."""
+"""Keep the calls of suspects on one entry apart from all others."""
 
 from random import Random
 
@@ -19,11 +19,12 @@
 from .timers import Timers
 from .trials import Trials
 
+# Size of the random tokens of trial requests.
 TOKEN_BITS = 62
 
 
 class Release:
-    """Let a held call go, or refuse it, as a ruling says."""
+    """Send or refuse a held call, according to a ruling."""
 
     __slots__ = ("call", "ruling")
 
@@ -33,9 +34,9 @@
 
 
 class Isolation:
-    """Hold the calls of suspects and learn which requests crash endpoints.
+    """Hold the calls of suspects and collect reports about crashes.
 
-    Held calls come back as releases; reports gather for control.
+    Held calls are returned as releases; control receives the reports.
     """
 
     __slots__ = ("_random", "_suspects", "_timers", "_trials")
@@ -48,46 +49,46 @@
 
     @property
     def index(self) -> int:
-        """Return the log index of the cases known."""
+        """Return the log index of the last update from control."""
         return self._suspects.index
 
     def drain_reports(self) -> list[Report]:
-        """Take what control must hear."""
-        return self._suspects.drain()
+        """Return and clear the reports to control."""
+        return self._suspects.take_reports()
 
     def check(self, call: Call, now: float) -> Ruling:
-        """Return whether a call may simply go; WAIT: only on trial."""
-        if call.trial_token or not self._suspects.any:
+        """Rule on a call; WAIT means that it needs a trial."""
+        if call.trial_token or not self._suspects.has_cases:
             return Ruling(FREE)
         return self._suspects.check(call.key, now)
 
     def holds(self, call: Call) -> bool:
-        """Return whether a call waits for a trial."""
+        """Return whether a call is held for a trial."""
         return self._trials.holds(call)
 
     def hold(self, call: Call, now: float) -> bool:
-        """Let a call wait for a trial; False says that too many do."""
+        """Hold a call for a trial; return False if too many are held."""
         if not self._trials.hold(call):
             return False
         self.request_trial(call.key, now)
         return True
 
     def request_trial(self, key: Key, now: float) -> None:
-        """Ask control for a trial, if a call waits and none asks."""
-        call = self._trials.next(key)
+        """Request a trial for the oldest held call, unless one is active."""
+        call = self._trials.next_call(key)
         if call is None:
             return
         token = self._random.getrandbits(TOKEN_BITS) + 1
         left_s = max(0.0, call.deadline_at - now)
-        self._trials.ask(call, token)
-        self._suspects.add(TrialRequest(*key, token, left_s))
+        self._trials.begin_request(call, token)
+        self._suspects.add_report(TrialRequest(*key, token, left_s))
 
     def apply_update(
-        self, news: QuarantineUpdate, now: float
+        self, update: QuarantineUpdate, now: float
     ) -> list[Release]:
-        """Take the requests that may crash endpoints, as control tells."""
+        """Apply the changed cases; return the calls they release."""
         releases: list[Release] = []
-        if not self._suspects.take(news, now):
+        if not self._suspects.apply(update, now):
             return releases
         for key in self._trials.keys:
             ruling = self._suspects.check(key, now)
@@ -98,36 +99,36 @@
     def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Release]:
-        """Take the answer to a trial request; None: there was none."""
+        """Apply the ruling on a trial request; None if none came."""
         key = request.service, request.fingerprint
-        call = self._trials.answer(request.token)
+        call = self._trials.end_request(request.token)
         if call is None:
             if ruling is not None and ruling.outcome == TRY:
-                # The call ended meanwhile.
-                self._suspects.add(TrialEnd(*key, request.token, False))
+                # The call ended in the meantime.
+                self._suspects.add_report(TrialEnd(*key, request.token, False))
             return []
         if ruling is None:
-            ruling = self._suspects.decide(key, now)
+            ruling = self._suspects.decide_locally(key, now)
         if ruling.outcome == WAIT:
-            self._trials.wait(key)
+            self._trials.clear_active(key)
             self._timers.add(now + ruling.after_s, REQUEST_TRIAL, call.call_id)
             return []
         if ruling.outcome == TRY:
-            self._trials.begin(call)
+            self._trials.begin_trial(call)
             call.trial_token = request.token
             call.alone = ruling.alone
             return [Release(call, ruling)]
         if ruling.outcome == FREE:
-            self._suspects.clear(key)
-        self._trials.wait(key)
+            self._suspects.remove(key)
+        self._trials.clear_active(key)
         return self._release(key, ruling)
 
     def finish_attempt(
         self, call: Call, result: Result, process: str, now: float
     ) -> list[Release]:
-        """Learn from an attempt's end whether a request crashes endpoints.
+        """Record an attempt's result; return the calls it releases.
 
-        ``process`` names the start of the endpoint it was sent to.
+        ``process`` names the process that the attempt was sent to.
         """
         trial, call.trial_token = call.trial_token, 0
         call.alone = False
@@ -135,30 +136,32 @@
         releases: list[Release] = []
         if result.crashed:
             sent_at = call.sent_at(result.attempt)
-            self._suspects.note_crash(key, process, trial, sent_at, now)
+            self._suspects.record_crash(key, process, trial, sent_at, now)
         elif result.outcome == ANSWERED and not result.failed:
-            self._suspects.note_answer(key)
+            self._suspects.record_answer(key)
             releases = self._release(key, Ruling(FREE))
         elif trial:
-            self._suspects.add(TrialEnd(*key, trial, True))
+            self._suspects.add_report(TrialEnd(*key, trial, True))
             self._suspects.end_trial(key)
         if trial:
-            self._trials.end(call)
+            self._trials.remove_call(call)
             self.request_trial(key, now)
         return releases
 
     def end_call(self, call: Call, sent: bool) -> None:
-        """Forget a call that has ended; ``sent`` tells if it was out."""
+        """Remove a call that has ended; ``sent`` says if it was sent."""
         key = call.key
-        self._trials.end(call)
-        other = self._trials.next(key)
+        self._trials.remove_call(call)
+        other = self._trials.next_call(key)
         if other is not None:
             self._timers.add(call.arrived_at, REQUEST_TRIAL, other.call_id)
         if not call.trial_token:
             return
-        self._suspects.add(TrialEnd(*key, call.trial_token, sent))
+        self._suspects.add_report(TrialEnd(*key, call.trial_token, sent))
         self._suspects.end_trial(key)
         call.trial_token = 0
 
     def _release(self, key: Key, ruling: Ruling) -> list[Release]:
-        return [Release(call, ruling) for call in self._trials.release(key)]
+        return [
+            Release(call, ruling) for call in self._trials.release_all(key)
+        ]
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -1,52 +1,55 @@
-"""Decide, for all entries together, which requests crash their endpoints.
+"""Decide, for all entries together, which requests crash endpoints.
 
-An endpoint that ends takes every request that was running there with it, so
-that one crash proves nothing. It makes those requests suspects. A suspect is
-tried by one entry at a time: an endpoint that answers acquits it, and one
-that ends under it as well is a proof. Two proofs quarantine a request.
+A crash ends every request that was running at the endpoint, so it does not
+show which of them caused it: all of them become suspects. One entry at a time
+sends a suspect on trial. An answer clears the suspect; a crash on trial counts
+against it, and two of those quarantine the request.
 """
 
 from collections import OrderedDict
 
 import msgspec
 
-# What a case is.
+# States of a case.
 WATCHED = "watched"
 SUSPECT = "suspect"
 QUARANTINED = "quarantined"
 
-# What an entry is told that wants to send a suspect.
+# Outcomes of a trial request.
 FREE = "free"
 TRY = "try"
 WAIT = "wait"
 
-PROOFS = 2
-# A quarantine ends, since a release may have mended the service; then one
-# send decides. Each one lasts twice as long as the one before.
+# Crashes on trial that quarantine a request.
+QUARANTINE_AFTER = 2
+# A quarantine ends, since a new release may have fixed the service; a single
+# trial then decides. Each quarantine lasts twice as long as the one
+# before. The maximum is also how long a suspect is kept.
 FIRST_QUARANTINE_S = 3600.0
-LONGEST_S = 86_400.0
-# A request whose crash was forgiven is forgotten after so long.
+MAX_QUARANTINE_S = 86_400.0
+# How long a watched request is kept: one whose crash did not make it a
+# suspect, as it had been answered before.
 WATCHED_S = 60.0
-# How long the trial of an entry that falls silent keeps others waiting,
-# beyond the time that its call has left.
+# How long the trial of an unresponsive entry blocks others, beyond the
+# deadline of its call.
 TRIAL_MARGIN_S = 1.0
-# When to ask again while another entry tries.
+# Pause before the next trial request while another entry has a trial.
 WAIT_S = 0.25
-# Bounds of what is kept for each service, and of the evidence for a case.
-MOST_QUARANTINED = 256
-MOST_SUSPECTS = 128
-MOST_EVIDENCE = 8
-# Cases that ended lately, so that entries need not be told of all others.
-MOST_ENDED = 1024
+# Bounds on the cases of each service, and on the processes of a case.
+MAX_QUARANTINED = 256
+MAX_SUSPECTS = 128
+MAX_PROCESSES = 8
+# Recently ended cases, kept so that updates can be incremental.
+MAX_ENDED = 1024
 
 
 class Crash(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Report that an endpoint ended while a request was with it.
+    """Report that an endpoint ended while it had a request.
 
-    ``process`` names the start of the endpoint; ``trial`` is the token of
-    the trial that the send was, or 0. ``sent_ago_s`` is the age of the send.
-    A ``forgivable`` crash took a request that the entry had seen answered
-    since the last one.
+    ``process`` names the process that ended. ``trial`` is the token of the
+    trial that the send belonged to, or 0. ``sent_ago_s`` is the age of the
+    send. ``answered_before`` says that the entry has seen the request
+    answered since its last crash.
     """
 
     service: str
@@ -58,14 +61,14 @@
 
 
 class Acquittal(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Report that an endpoint answered a request that is a case."""
+    """Report that an endpoint answered a request that has a case."""
 
     service: str
     fingerprint: str
 
 
 class TrialRequest(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Ask to send a suspect; the call has ``left_s`` seconds left."""
+    """Request a trial; the call has ``left_s`` seconds to its deadline."""
 
     service: str
     fingerprint: str
@@ -74,9 +77,9 @@
 
 
 class TrialEnd(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Report that a trial ended and proved nothing.
+    """Report that a trial ended with neither an answer nor a crash.
 
-    ``sent`` tells whether the call had gone to an endpoint.
+    ``sent`` says whether the call was sent to an endpoint.
     """
 
     service: str
@@ -91,9 +94,10 @@
 class Ruling(msgspec.Struct, frozen=True, array_like=True):
     """Answer a report.
 
-    TRY lets one call go, where ``alone`` to an endpoint that runs nothing
-    else. WAIT: another call is on trial; ask again after ``after_s``. FREE:
-    it is no suspect. QUARANTINED: it is not sent for ``after_s``.
+    TRY: send one call; if ``alone``, to an endpoint that runs no other.
+    WAIT: another call is on trial; request again after ``after_s``.
+    FREE: the request is no suspect.
+    QUARANTINED: the request is refused for ``after_s``.
     """
 
     outcome: str
@@ -102,22 +106,22 @@
 
 
 class QuarantineRequest(msgspec.Struct, frozen=True):
-    """Carry the reports that one entry gathered."""
+    """Carry the collected reports of one entry."""
 
     reports: list[Report]
 
 
 class QuarantineReply(msgspec.Struct, frozen=True):
-    """Return the rulings in order, or only the leader's gRPC address."""
+    """Carry the rulings in order, or only the leader's gRPC address."""
 
     leader: str | None
     rulings: list[Ruling] | None
 
 
 class QuarantineBatch(msgspec.Struct, frozen=True, tag=True):
-    """Hold one entry's reports in the log.
+    """Hold one entry's reports as a log entry.
 
-    ``elapsed_s`` is the time since the same leader's last batch.
+    ``elapsed_s`` is the time since the last batch of the same leader.
     """
 
     elapsed_s: float
@@ -125,7 +129,7 @@
 
 
 class Lift(msgspec.Struct, frozen=True, tag=True):
-    """Hold an operator's order to forget a case."""
+    """Hold an operator's order to delete a case."""
 
     service: str
     fingerprint: str
@@ -134,23 +138,23 @@
 
 
 class Rulings(msgspec.Struct, frozen=True):
-    """Tell what became of a batch, and whom it quarantined."""
+    """Hold the rulings on a batch and the cases it quarantined."""
 
     rulings: list[Ruling]
     quarantined: list["CaseStatus"] = []
 
 
 class Lifted(msgspec.Struct, frozen=True):
-    """Return whether there was a case to forget."""
+    """Hold the result of a lift: whether there was a case."""
 
     found: bool
 
 
 class CaseStatus(msgspec.Struct, frozen=True):
-    """Show operators a case.
+    """Describe a case to operators.
 
-    ``left_s`` is how long a quarantine lasts on; ``processes`` names the
-    endpoints that ended.
+    ``left_s`` is the remaining time of a quarantine; ``processes`` names the
+    processes that ended.
     """
 
     service: str
@@ -161,7 +165,7 @@
 
 
 class CaseUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Tell entries of a case; ``left_s`` is what a quarantine lasts on."""
+    """Describe a case to entries; ``left_s`` as in CaseStatus."""
 
     service: str
     fingerprint: str
@@ -173,9 +177,9 @@
 
 
 class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Lead from the cases as of log index ``base`` to those of ``index``.
+    """List the changes from log index ``base`` to ``index``.
 
-    A base of 0 means that ``cases`` is all there is.
+    With a base of 0, ``cases`` lists all cases.
     """
 
     base: int
@@ -185,7 +189,7 @@
 
 
 class Case(msgspec.Struct, array_like=True):
-    """Hold what is known of one request."""
+    """Hold the state of one suspected request."""
 
     service: str
     fingerprint: str
@@ -193,20 +197,20 @@
     since_s: float
     until_s: float
     processes: list[str] = []
-    proofs: int = 0
-    # Whether it was tried beside other calls already.
+    trial_crashes: int = 0
+    # Whether it had its first trial, which may run beside other calls.
     tried: bool = False
     trial: int = 0
     trial_until_s: float = 0.0
-    times: int = 0
-    # The log index at which its state changed last.
+    quarantines: int = 0
+    # Log index of the last change of state.
     changed: int = 0
-    # Whether it is a suspect only since another service has crashed.
-    carried: bool = False
+    # Whether it was opened for a quarantine at another service.
+    from_other_service: bool = False
 
 
 class QuarantineState(msgspec.Struct, frozen=True):
-    """Hold all cases in the form that snapshots keep, oldest first."""
+    """Hold all cases for a snapshot, oldest first."""
 
     time_s: float = 0.0
     index: int = 0
@@ -214,62 +218,62 @@
 
 
 class Quarantine:
-    """Apply batches in log order; every replica reaches the same cases."""
+    """Apply batches in log order, deterministically on every replica."""
 
     __slots__ = (
         "_cases",
         "_ended",
-        "_forgotten",
+        "_oldest_base",
         "_index",
-        "_most_quarantined",
-        "_most_suspects",
+        "_max_quarantined",
+        "_max_suspects",
         "_time_s",
     )
 
     def __init__(
         self,
-        max_suspects: int = MOST_SUSPECTS,
-        max_quarantined: int = MOST_QUARANTINED,
+        max_suspects: int = MAX_SUSPECTS,
+        max_quarantined: int = MAX_QUARANTINED,
     ) -> None:
         self._cases: OrderedDict[Key, Case] = OrderedDict()
         self._ended: OrderedDict[Key, int] = OrderedDict()
-        # Cases that ended up to this index are not known any more.
-        self._forgotten = 0
+        # Ends of cases are known only after this log index.
+        self._oldest_base = 0
         self._index = 0
         self._time_s = 0.0
-        self._most_suspects = max_suspects
-        self._most_quarantined = max_quarantined
+        self._max_suspects = max_suspects
+        self._max_quarantined = max_quarantined
 
     @property
     def index(self) -> int:
-        """Return the log index of the last change that entries must hear."""
+        """Return the log index of the last change of a case."""
         return self._index
 
     @property
     def count(self) -> int:
-        """Count the requests in quarantine."""
+        """Return the number of quarantined requests."""
         states = [case.state for case in self._cases.values()]
         return states.count(QUARANTINED)
 
     def apply(self, index: int, batch: QuarantineBatch) -> Rulings:
-        """Apply a committed batch and answer its reports."""
+        """Apply a committed batch and rule on its reports."""
         self._time_s += max(0.0, batch.elapsed_s)
         before = self._states()
         self._expire()
-        rulings = [self._rule(report) for report in batch.request.reports]
-        return Rulings(rulings, self._note_changes(before, index))
+        rulings = [self._handle(report) for report in batch.request.reports]
+        return Rulings(rulings, self._record_changes(before, index))
 
     def lift(self, index: int, order: Lift) -> Lifted:
-        """Forget a case by an operator's order."""
+        """Delete a case by an operator's order."""
         before = self._states()
         key = order.service, order.fingerprint
         found = self._cases.pop(key, None) is not None
-        self._note_changes(before, index)
+        self._record_changes(before, index)
         return Lifted(found)
 
     def since(self, index: int) -> QuarantineUpdate:
-        """Tell what changed since a log index."""
-        base = 0 if index < self._forgotten else index
+        """Return the changes since a log index."""
+        base = 0 if index < self._oldest_base else index
         cases = []
         for case in self._cases.values():
             if case.changed > base:
@@ -286,19 +290,19 @@
 
     def case_statuses(self) -> list[CaseStatus]:
         """List all cases for operators."""
-        return [self._evidence(case) for case in self._cases.values()]
+        return [self._status(case) for case in self._cases.values()]
 
     def snapshot(self) -> QuarantineState:
-        """Return all cases; encode them before the next batch."""
+        """Return all cases; must be encoded before the next batch."""
         return QuarantineState(
             self._time_s, self._index, list(self._cases.values())
         )
 
     def restore(self, state: QuarantineState) -> None:
-        """Take a snapshot's cases in place of the present ones."""
+        """Replace all cases by those of a snapshot."""
         self._time_s = state.time_s
         self._index = state.index
-        self._forgotten = state.index
+        self._oldest_base = state.index
         self._ended.clear()
         self._cases = OrderedDict()
         for case in state.cases:
@@ -307,10 +311,10 @@
     def _states(self) -> dict[Key, str]:
         return {key: case.state for key, case in self._cases.items()}
 
-    def _note_changes(
+    def _record_changes(
         self, before: dict[Key, str], index: int
     ) -> list[CaseStatus]:
-        """Date what changed; return whom it quarantined."""
+        """Set the index of changed cases; return the new quarantines."""
         quarantined = []
         for key, case in self._cases.items():
             if before.get(key) == case.state:
@@ -318,14 +322,14 @@
             case.changed = self._index = index
             self._ended.pop(key, None)
             if case.state == QUARANTINED:
-                quarantined.append(self._evidence(case))
+                quarantined.append(self._status(case))
         for key in before:
             if key in self._cases:
                 continue
             self._index = index
             self._ended[key] = index
-        while len(self._ended) > MOST_ENDED:
-            _, self._forgotten = self._ended.popitem(last=False)
+        while len(self._ended) > MAX_ENDED:
+            _, self._oldest_base = self._ended.popitem(last=False)
         return quarantined
 
     def _left_s(self, case: Case) -> float:
@@ -333,7 +337,7 @@
             return 0.0
         return max(0.0, case.until_s - self._time_s)
 
-    def _evidence(self, case: Case) -> CaseStatus:
+    def _status(self, case: Case) -> CaseStatus:
         return CaseStatus(
             case.service,
             case.fingerprint,
@@ -342,30 +346,30 @@
             case.processes,
         )
 
-    def _rule(self, report: Report) -> Ruling:
+    def _handle(self, report: Report) -> Ruling:
         key = report.service, report.fingerprint
         case = self._cases.get(key)
         if isinstance(report, Crash):
-            self._take_crash(case, report)
+            self._record_crash(case, report)
             return Ruling(FREE)
         if case is None:
-            case = self._carry(key)
+            case = self._open_from_other_service(key)
         if case is None:
             return Ruling(FREE)
         if isinstance(report, Acquittal):
-            self._acquit(case)
+            self._clear(case)
             return Ruling(FREE)
         if isinstance(report, TrialEnd):
             if case.trial == report.token:
                 case.trial = 0
-                case.tried = report.sent or case.proofs > 0
+                case.tried = report.sent or case.trial_crashes > 0
             return Ruling(FREE)
-        return self._try(case, report)
+        return self._grant_trial(case, report)
 
-    def _carry(self, key: Key) -> Case | None:
-        """Suspect a request that is quarantined at another service.
+    def _open_from_other_service(self, key: Key) -> Case | None:
+        """Open a case for a request quarantined at another service.
 
-        Routes move between services. There one trial alone decides.
+        Routes can move between services. One trial decides such a case.
         """
         service, fingerprint = key
         for other in list(self._cases.values()):
@@ -376,83 +380,90 @@
                 fingerprint,
                 SUSPECT,
                 since_s=self._time_s,
-                until_s=self._time_s + LONGEST_S,
-                proofs=PROOFS - 1,
+                until_s=self._time_s + MAX_QUARANTINE_S,
+                trial_crashes=QUARANTINE_AFTER - 1,
                 tried=True,
-                carried=True,
+                from_other_service=True,
             )
             self._cases[key] = case
-            self._drop_oldest(service, SUSPECT, self._most_suspects)
+            self._drop_oldest(service, SUSPECT, self._max_suspects)
             return case
         return None
 
-    def _acquit(self, case: Case) -> None:
-        if not case.carried:
+    def _clear(self, case: Case) -> None:
+        if not case.from_other_service:
             del self._cases[case.service, case.fingerprint]
             return
-        # Forgotten, it would be tried again with its next call.
+        # Without a case, the next call would need a trial again.
         case.state = WATCHED
         case.since_s = self._time_s
         case.trial = 0
-        case.proofs = 0
+        case.trial_crashes = 0
 
-    def _take_crash(self, case: Case | None, crash: Crash) -> None:
+    def _record_crash(self, case: Case | None, crash: Crash) -> None:
         if case is None:
-            self._open(crash)
+            self._open_case(crash)
             return
         on_trial = crash.trial != 0 and crash.trial == case.trial
         if on_trial:
             case.trial = 0
         if crash.process in case.processes:
             return
-        if len(case.processes) < MOST_EVIDENCE:
+        if len(case.processes) < MAX_PROCESSES:
             case.processes = [*case.processes, crash.process]
         if case.state == QUARANTINED:
             return
         if on_trial:
-            self._take_proof(case)
+            self._record_trial_crash(case)
             return
-        # What was sent before the first crash was known is no repetition
-        # of it: many endpoints may have ended for one reason.
-        again = self._time_s - crash.sent_ago_s > case.since_s
-        if case.state == WATCHED and again:
+        # Sends from before the first crash was known do not count as a
+        # repeat: one outage may have ended many endpoints.
+        is_repeat = self._time_s - crash.sent_ago_s > case.since_s
+        if case.state == WATCHED and is_repeat:
             case.state = SUSPECT
-        elif crash.answered_before and not again and not case.proofs:
-            # Another entry has seen it answered.
+        elif (
+            crash.answered_before and not is_repeat and not case.trial_crashes
+        ):
+            # Another entry has seen the request answered.
             case.state = WATCHED
 
-    def _open(self, crash: Crash) -> None:
+    def _open_case(self, crash: Crash) -> None:
         state = WATCHED if crash.answered_before else SUSPECT
         self._cases[crash.service, crash.fingerprint] = Case(
             crash.service,
             crash.fingerprint,
             state,
             since_s=self._time_s,
-            until_s=self._time_s + LONGEST_S,
+            until_s=self._time_s + MAX_QUARANTINE_S,
             processes=[crash.process],
         )
-        self._drop_oldest(crash.service, state, self._most_suspects)
+        self._drop_oldest(crash.service, state, self._max_suspects)
 
-    def _take_proof(self, case: Case) -> None:
-        case.proofs += 1
-        if case.proofs < PROOFS:
+    def _record_trial_crash(self, case: Case) -> None:
+        case.trial_crashes += 1
+        if case.trial_crashes < QUARANTINE_AFTER:
             return
         case.state = QUARANTINED
-        lasts_s = min(LONGEST_S, FIRST_QUARANTINE_S * 2.0**case.times)
-        case.until_s = self._time_s + lasts_s
-        case.times += 1
+        duration_s = min(
+            MAX_QUARANTINE_S, FIRST_QUARANTINE_S * 2.0**case.quarantines
+        )
+        case.until_s = self._time_s + duration_s
+        case.quarantines += 1
         for other in self._cases.values():
-            if other.fingerprint == case.fingerprint and not other.proofs:
-                other.proofs = PROOFS - 1
-        self._drop_oldest(case.service, QUARANTINED, self._most_quarantined)
-
-    def _try(self, case: Case, request: TrialRequest) -> Ruling:
+            if (
+                other.fingerprint == case.fingerprint
+                and not other.trial_crashes
+            ):
+                other.trial_crashes = QUARANTINE_AFTER - 1
+        self._drop_oldest(case.service, QUARANTINED, self._max_quarantined)
+
+    def _grant_trial(self, case: Case, request: TrialRequest) -> Ruling:
         if case.state == QUARANTINED:
             return Ruling(QUARANTINED, case.until_s - self._time_s)
         if case.state == WATCHED:
             return Ruling(FREE)
-        free = case.trial == 0 or self._time_s > case.trial_until_s
-        if not free and case.trial != request.token:
+        is_open = case.trial == 0 or self._time_s > case.trial_until_s
+        if not is_open and case.trial != request.token:
             return Ruling(WAIT, WAIT_S)
         case.trial = request.token
         case.trial_until_s = self._time_s + request.left_s + TRIAL_MARGIN_S
@@ -462,27 +473,27 @@
 
     def _expire(self) -> None:
         for key, case in list(self._cases.items()):
-            kept_s = WATCHED_S if case.state == WATCHED else LONGEST_S
+            ttl_s = WATCHED_S if case.state == WATCHED else MAX_QUARANTINE_S
             if case.state == QUARANTINED:
                 if self._time_s > case.until_s:
                     case.state = SUSPECT
-                    case.proofs = PROOFS - 1
+                    case.trial_crashes = QUARANTINE_AFTER - 1
                     case.since_s = self._time_s
                 continue
-            if self._time_s - case.since_s > kept_s:
+            if self._time_s - case.since_s > ttl_s:
                 del self._cases[key]
 
-    def _drop_oldest(self, service: str, state: str, most: int) -> None:
-        """Keep the cases of a service within a bound.
+    def _drop_oldest(self, service: str, state: str, limit: int) -> None:
+        """Bound the cases of a service, dropping the oldest.
 
-        Those with proofs go last: requests that differ each time must not
-        push out one that comes again.
+        Cases with crashes on trial are dropped last: many different requests
+        must not displace one that repeats.
         """
         found = [
             case
             for case in self._cases.values()
             if case.service == service and case.state == state
         ]
-        found.sort(key=lambda case: case.proofs)
-        for case in found[: max(0, len(found) - most)]:
+        found.sort(key=lambda case: case.trial_crashes)
+        for case in found[: max(0, len(found) - limit)]:
             del self._cases[case.service, case.fingerprint]
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -1,4 +1,4 @@
-"""Know, on one entry, which requests may have crashed their endpoints."""
+"""Track, on one entry, which requests may have crashed endpoints."""
 
 from collections import OrderedDict
 
@@ -15,184 +15,191 @@
 from .quarantines import WAIT
 from .quarantines import WATCHED
 
-# Requests that were answered lately; popular ones are among them.
-MOST_ANSWERED = 2048
-# How long this entry suspects a request by itself, until it is told of the
-# case or hears that there is none.
-OWN_S = 60.0
-# Without control an entry decides by its own crashes: so many in a row.
-OWN_CRASHES = 3
-MOST_OWN = 1024
-OWN_WAIT_S = 0.2
+# Recently answered requests that are kept, for each entry. Frequent requests
+# are among them.
+MAX_ANSWERED = 2048
+# How long an entry suspects a request on its own, until control reports the
+# case or that there is none.
+LOCAL_CASE_S = 60.0
+# Successive crashes after which an entry without control refuses a request.
+MAX_LOCAL_CRASHES = 3
+MAX_LOCAL_CASES = 1024
+# Pause before the next trial request without control.
+LOCAL_WAIT_S = 0.2
 
 
-class OwnCase:
-    """Hold crashes that this entry saw and control has not told of."""
+class LocalCase:
+    """Hold crashes that this entry saw and control has not reported."""
 
-    __slots__ = ("at", "crashes", "trying")
+    __slots__ = ("last_crash_at", "crashes", "has_trial")
 
     def __init__(self, now: float) -> None:
-        self.at = now
+        self.last_crash_at = now
         self.crashes = 0
-        self.trying = False
+        self.has_trial = False
 
 
-class Told:
-    """Hold what control told of a request."""
+class ReportedCase:
+    """Hold the state of a request as control reported it."""
 
-    __slots__ = ("acquitted", "state", "until")
+    __slots__ = ("cleared", "state", "until")
 
     def __init__(self, state: str, until: float) -> None:
         self.state = state
         self.until = until
         # Whether this entry has reported an answer since.
-        self.acquitted = False
+        self.cleared = False
 
 
 class Suspects:
-    """Tell which calls may go, and gather what control must hear."""
+    """Decide which requests need a trial and collect reports to control."""
 
     __slots__ = (
         "_answered",
-        "_forgiven",
+        "_answered_crashes",
         "_index",
-        "_own",
+        "_local_cases",
         "_quarantined",
         "_reports",
-        "_told",
+        "_reported_cases",
     )
 
     def __init__(self) -> None:
-        self._told: dict[Key, Told] = {}
+        self._reported_cases: dict[Key, ReportedCase] = {}
         # Fingerprints that are quarantined at any service.
         self._quarantined: set[str] = set()
-        self._own: OrderedDict[Key, OwnCase] = OrderedDict()
+        self._local_cases: OrderedDict[Key, LocalCase] = OrderedDict()
         self._answered: OrderedDict[Key, None] = OrderedDict()
-        # When a crash of a request that had been answered was forgiven.
-        self._forgiven: OrderedDict[Key, float] = OrderedDict()
+        # When a request crashed that had been answered before; such a crash
+        # does not make it a suspect here.
+        self._answered_crashes: OrderedDict[Key, float] = OrderedDict()
         self._reports: list[Report] = []
         self._index = 0
 
     @property
     def index(self) -> int:
-        """Return the log index of what control told last."""
+        """Return the log index of the last update from control."""
         return self._index
 
     @property
-    def any(self) -> bool:
-        """Return whether there is any request that is not simply sent."""
-        return bool(self._told or self._own)
+    def has_cases(self) -> bool:
+        """Return whether any request may need a trial or be refused."""
+        return bool(self._reported_cases or self._local_cases)
 
-    def drain(self) -> list[Report]:
-        """Take what control must hear."""
+    def take_reports(self) -> list[Report]:
+        """Return and clear the reports to control."""
         reports, self._reports = self._reports, []
         return reports
 
-    def add(self, report: Report) -> None:
-        """Add something that control must hear."""
+    def add_report(self, report: Report) -> None:
+        """Add a report to control."""
         self._reports.append(report)
 
-    def take(self, news: QuarantineUpdate, now: float) -> bool:
-        """Take what changed; return whether anything did."""
-        if news.index <= self._index or news.base > self._index:
+    def apply(self, update: QuarantineUpdate, now: float) -> bool:
+        """Apply an update from control; return whether it was new."""
+        if update.index <= self._index or update.base > self._index:
             return False
-        self._index = news.index
-        if news.base == 0:
-            self._told = {}
-        for key in news.ended:
-            self._told.pop(key, None)
-        for one in news.cases:
-            key = one.service, one.fingerprint
-            self._told[key] = Told(one.state, now + one.left_s)
-            self._own.pop(key, None)
+        self._index = update.index
+        if update.base == 0:
+            self._reported_cases = {}
+        for key in update.ended:
+            self._reported_cases.pop(key, None)
+        for changed in update.cases:
+            key = changed.service, changed.fingerprint
+            self._reported_cases[key] = ReportedCase(
+                changed.state, now + changed.left_s
+            )
+            self._local_cases.pop(key, None)
         self._quarantined = {
             fingerprint
-            for (_, fingerprint), told in self._told.items()
-            if told.state == QUARANTINED
+            for (_, fingerprint), case in self._reported_cases.items()
+            if case.state == QUARANTINED
         }
         return True
 
     def check(self, key: Key, now: float) -> Ruling:
-        """Return whether a request may be sent; WAIT: only on trial."""
-        told = self._told.get(key)
-        if told is not None and told.state == QUARANTINED:
-            if now < told.until:
-                return Ruling(QUARANTINED, told.until - now)
+        """Rule on a request; WAIT means that it needs a trial."""
+        case = self._reported_cases.get(key)
+        if case is not None and case.state == QUARANTINED:
+            if now < case.until:
+                return Ruling(QUARANTINED, case.until - now)
             return Ruling(WAIT)
-        if told is not None and told.state == SUSPECT:
+        if case is not None and case.state == SUSPECT:
             return Ruling(WAIT)
-        if told is None and key[1] in self._quarantined:
+        if case is None and key[1] in self._quarantined:
             return Ruling(WAIT)
-        own = self._own.get(key)
-        if own is None or now - own.at > OWN_S:
-            self._own.pop(key, None)
+        local_case = self._local_cases.get(key)
+        if local_case is None or now - local_case.last_crash_at > LOCAL_CASE_S:
+            self._local_cases.pop(key, None)
             return Ruling(FREE)
         return Ruling(WAIT)
 
-    def decide(self, key: Key, now: float) -> Ruling:
-        """Rule on a trial where control cannot be asked."""
-        own = self._own.get(key)
-        if own is None:
-            own = self._own[key] = OwnCase(now)
-        if own.crashes >= OWN_CRASHES:
-            return Ruling(QUARANTINED, OWN_S - (now - own.at))
-        if own.trying:
-            return Ruling(WAIT, OWN_WAIT_S)
-        own.trying = True
-        return Ruling(TRY, alone=own.crashes > 1)
-
-    def clear(self, key: Key) -> None:
-        """Take word from control that a request is no suspect."""
-        self._own.pop(key, None)
-        told = self._told.get(key)
-        if told is not None and told.state != WATCHED:
-            del self._told[key]
-
-    def note_crash(
+    def decide_locally(self, key: Key, now: float) -> Ruling:
+        """Rule on a trial request while control cannot be reached."""
+        local_case = self._local_cases.get(key)
+        if local_case is None:
+            local_case = self._local_cases[key] = LocalCase(now)
+        if local_case.crashes >= MAX_LOCAL_CRASHES:
+            return Ruling(
+                QUARANTINED, LOCAL_CASE_S - (now - local_case.last_crash_at)
+            )
+        if local_case.has_trial:
+            return Ruling(WAIT, LOCAL_WAIT_S)
+        local_case.has_trial = True
+        return Ruling(TRY, alone=local_case.crashes > 1)
+
+    def remove(self, key: Key) -> None:
+        """Remove a request that control does not suspect."""
+        self._local_cases.pop(key, None)
+        case = self._reported_cases.get(key)
+        if case is not None and case.state != WATCHED:
+            del self._reported_cases[key]
+
+    def record_crash(
         self, key: Key, process: str, trial: int, sent_at: float, now: float
     ) -> None:
-        """Take word that an endpoint ended while a request was there."""
+        """Record that an endpoint ended while it had a request."""
         answered_before = key in self._answered and not trial
         self._reports.append(
             Crash(*key, process, trial, now - sent_at, answered_before)
         )
         if answered_before:
             del self._answered[key]
-            _remember(self._forgiven, key, now)
+            _remember(self._answered_crashes, key, now)
             return
-        if sent_at <= self._forgiven.get(key, -1.0):
+        if sent_at <= self._answered_crashes.get(key, -1.0):
             return
-        own = self._own.setdefault(key, OwnCase(now))
-        own.at = now
-        own.crashes += 1
-        own.trying = False
-        while len(self._own) > MOST_OWN:
-            self._own.popitem(last=False)
-
-    def note_answer(self, key: Key) -> None:
-        """Take word that an endpoint answered a request."""
+        local_case = self._local_cases.setdefault(key, LocalCase(now))
+        local_case.last_crash_at = now
+        local_case.crashes += 1
+        local_case.has_trial = False
+        while len(self._local_cases) > MAX_LOCAL_CASES:
+            self._local_cases.popitem(last=False)
+
+    def record_answer(self, key: Key) -> None:
+        """Record that an endpoint answered a request."""
         self._answered[key] = None
         self._answered.move_to_end(key)
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
-        reported = self._own.pop(key, None) is not None
-        reported |= self._forgiven.pop(key, None) is not None
-        told = self._told.get(key)
-        if told is not None and not told.acquitted:
-            told.acquitted = True
-            reported = True
-        if reported:
+        report_answer = self._local_cases.pop(key, None) is not None
+        report_answer |= self._answered_crashes.pop(key, None) is not None
+        case = self._reported_cases.get(key)
+        if case is not None and not case.cleared:
+            case.cleared = True
+            report_answer = True
+        if report_answer:
             self._reports.append(Acquittal(*key))
 
     def end_trial(self, key: Key) -> None:
-        """Take word that a trial of this entry ended without a crash."""
-        own = self._own.get(key)
-        if own is not None:
-            own.trying = False
+        """Record that a trial of this entry ended without a crash."""
+        local_case = self._local_cases.get(key)
+        if local_case is not None:
+            local_case.has_trial = False
 
 
 def _remember(kept: OrderedDict[Key, float], key: Key, now: float) -> None:
     kept[key] = now
     kept.move_to_end(key)
-    if len(kept) > MOST_ANSWERED:
+    if len(kept) > MAX_ANSWERED:
         kept.popitem(last=False)
--- a/packages/core/nutmegchute_core/trials.py
+++ b/packages/core/nutmegchute_core/trials.py
@@ -1,37 +1,37 @@
-"""Hold, on one entry, the calls of suspects until one may be tried."""
+"""Hold the calls of suspects on one entry until they may be sent."""
 
 from .calls import Call
 from .quarantines import Key
 
-# Calls of suspects that wait for one service; more of them are refused, or
-# a request that is sent often would take every worker thread.
+# Held calls per service; further ones are refused, as the calls of a frequent
+# request would occupy every worker thread.
 MAX_HELD = 8
 
 
 class Trials:
-    """Let one call of each suspect ask or run at a time."""
+    """Let one call of each suspect request a trial or run at a time."""
 
-    __slots__ = ("_busy", "_held", "_tokens")
+    __slots__ = ("_active", "_held", "_requests")
 
     def __init__(self) -> None:
-        # The calls that wait, by request, the oldest first.
+        # Held calls by request, the oldest first.
         self._held: dict[Key, dict[int, Call]] = {}
-        # The call that asks for a trial or is on trial.
-        self._busy: dict[Key, int] = {}
-        # The calls that ask, by the token of their request.
-        self._tokens: dict[int, Call] = {}
+        # The call that requests a trial or is on trial, by request.
+        self._active: dict[Key, int] = {}
+        # Calls that request a trial, by the token of the trial request.
+        self._requests: dict[int, Call] = {}
 
     @property
     def keys(self) -> list[Key]:
-        """List the requests of which calls wait."""
+        """List the requests that have held calls."""
         return list(self._held)
 
     def holds(self, call: Call) -> bool:
-        """Return whether a call waits."""
+        """Return whether a call is held."""
         return call.call_id in self._held.get(call.key, ())
 
     def hold(self, call: Call) -> bool:
-        """Let a call wait; False says that too many do."""
+        """Hold a call; return False if too many are held."""
         waiting = 0
         for (service, _), calls in self._held.items():
             if service == call.service:
@@ -41,47 +41,47 @@
         self._held.setdefault(call.key, {})[call.call_id] = call
         return True
 
-    def next(self, key: Key) -> Call | None:
-        """Return the call that should ask for a trial, if any."""
-        if key in self._busy:
+    def next_call(self, key: Key) -> Call | None:
+        """Return the call that should request a trial next, if any."""
+        if key in self._active:
             return None
         return next(iter(self._held.get(key, {}).values()), None)
 
-    def ask(self, call: Call, token: int) -> None:
-        """Note that a call asks for a trial."""
-        self._busy[call.key] = call.call_id
-        self._tokens[token] = call
+    def begin_request(self, call: Call, token: int) -> None:
+        """Record that a call requests a trial."""
+        self._active[call.key] = call.call_id
+        self._requests[token] = call
 
-    def answer(self, token: int) -> Call | None:
-        """Take the end of a question; None: its call has ended."""
-        return self._tokens.pop(token, None)
+    def end_request(self, token: int) -> Call | None:
+        """Return the call of a trial request, or None if it has ended."""
+        return self._requests.pop(token, None)
 
-    def wait(self, key: Key) -> None:
-        """Note that nobody asks: another entry tries."""
-        self._busy.pop(key, None)
+    def clear_active(self, key: Key) -> None:
+        """Record that no call requests a trial or is on trial."""
+        self._active.pop(key, None)
 
-    def begin(self, call: Call) -> None:
-        """Note that a call which waited is on trial."""
+    def begin_trial(self, call: Call) -> None:
+        """Record that a held call is on trial."""
         self._drop_held(call)
 
-    def release(self, key: Key) -> list[Call]:
-        """Return all calls that wait, and hold them no more."""
+    def release_all(self, key: Key) -> list[Call]:
+        """Stop holding the calls of a request and return them."""
         calls = self._held.pop(key, {})
-        if self._busy.get(key) in calls:
-            self._forget(key)
+        if self._active.get(key) in calls:
+            self._clear_request(key)
         return list(calls.values())
 
-    def end(self, call: Call) -> None:
-        """Forget a call that has ended or is on trial no more."""
+    def remove_call(self, call: Call) -> None:
+        """Remove a call that has ended or whose trial has."""
         self._drop_held(call)
-        if self._busy.get(call.key) == call.call_id:
-            self._forget(call.key)
+        if self._active.get(call.key) == call.call_id:
+            self._clear_request(call.key)
 
-    def _forget(self, key: Key) -> None:
-        del self._busy[key]
-        for token, call in list(self._tokens.items()):
+    def _clear_request(self, key: Key) -> None:
+        del self._active[key]
+        for token, call in list(self._requests.items()):
             if call.key == key:
-                del self._tokens[token]
+                del self._requests[token]
 
     def _drop_held(self, call: Call) -> None:
         calls = self._held.get(call.key)
