--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Give every run of the tests the same verdict."""
+"""Make Hypothesis deterministic: every run has the same result."""
 
 from hypothesis import settings
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Share small builders among the tests."""
+"""Build rules, teams and announcements for tests."""
 
 from typing import Any
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,7 +1,7 @@
-"""Tell entries of endpoints through one replica each, on virtual time.
+"""Test discovery through one control replica per entry, on virtual time.
 
-The daemons' own exchanges run here: watchers of entries, registrars and the
-replicas' questions to each other. Agreement is stood in for.
+The daemons' own code runs here: watchers of entries, registrars and the
+long polls between replicas. Consensus is replaced by a stub.
 """
 
 import asyncio
@@ -38,11 +38,11 @@
 from virtual_time import VirtualLinks
 
 HEARTBEAT_S = 1.5
-# Within this time an acknowledged leaving is heeded and an accepted change
-# in force, by every entry in touch.
+# Within this time every connected entry applies an acknowledged drain and an
+# accepted change.
 BOUND_S = 2.0
-# Entries are in touch this long after what disturbed them.
-TOUCH_S = 3.0
+# Within this time entries are connected again after a fault.
+RECONNECT_S = 3.0
 CONTACT_S = 1.0
 CONTACT_TICK_S = 0.1
 COMMIT_S = 0.005
@@ -51,66 +51,66 @@
 
 
 class Tree:
-    """Stand for the replicated tree: an index and nothing else."""
+    """Stub the replicated tree: an index and nothing else."""
 
     def __init__(self) -> None:
         self.index = 1
         self.documents: dict[str, Any] = {}
 
     def steps_since(self, index: int) -> None:
-        """Keep no steps."""
+        """Return None: the stub keeps no steps."""
 
     def changed_since(self, index: int) -> dict[str, Any]:
-        """Give no branches."""
+        """Return no branches."""
         return {}
 
 
 class Replica:
-    """Run one control replica's registrar and exchange."""
+    """Run the registrar and peer exchange of one control replica."""
 
-    def __init__(self, address: str, world: "World") -> None:
+    def __init__(self, address: str, cluster: "Cluster") -> None:
         self.address = address
         self.tree = Tree()
         self.quarantine = Quarantine()
         self.evacuations = Evacuations()
-        self._world = world
+        self._cluster = cluster
         self._contact_at = 0.0
         self.registrar = Registrar(
             address, self.in_contact, lambda: cast(Any, self._node())
         )
-        links = cast(Links, VirtualLinks(address, world.network))
+        links = cast(Links, VirtualLinks(address, cluster.network))
         self.exchange = PeerExchange(links, self.registrar)
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic tasks."""
         self.exchange.start()
         for period_s, function in (
             (EXPIRE_S, self._expire),
-            (CONTACT_TICK_S, self._look_around),
+            (CONTACT_TICK_S, self._check_contact),
         ):
             self._tasks.append(
                 asyncio.ensure_future(_every(period_s, function))
             )
 
     def stop(self) -> None:
-        """End what runs."""
+        """Cancel all tasks."""
         self.exchange.stop()
         for task in self._tasks:
             task.cancel()
 
     def in_contact(self) -> bool:
-        """Tell whether a majority was reached lately."""
+        """Return whether a majority was reached within CONTACT_S."""
         now = asyncio.get_running_loop().time()
         return now - self._contact_at <= CONTACT_S
 
     def commit(self, index: int) -> None:
-        """Take a committed change."""
+        """Apply a committed change."""
         self.tree.index = max(self.tree.index, index)
         self.registrar.tell()
 
     def _node(self) -> SimpleNamespace:
-        members = self._world.members
+        members = self._cluster.members
         return SimpleNamespace(
             machine=SimpleNamespace(
                 tree=self.tree,
@@ -127,36 +127,38 @@
         self.registrar.expire()
         self.exchange.meet()
 
-    def _look_around(self) -> None:
-        if self._world.reaches_majority(self.address):
+    def _check_contact(self) -> None:
+        if self._cluster.reaches_majority(self.address):
             self._contact_at = asyncio.get_running_loop().time()
-            # The leader's next heartbeat brings what was missed in a cut.
-            if self.tree.index < self._world.index:
-                self.commit(self._world.index)
+            # The leader's next heartbeat brings changes missed in a partition.
+            if self.tree.index < self._cluster.index:
+                self.commit(self._cluster.index)
 
 
 class Entry:
-    """Run one entry's watcher and catalog."""
+    """Run the watcher and catalog of one entry."""
 
-    def __init__(self, name: str, zone: str, world: "World") -> None:
+    def __init__(self, name: str, zone: str, cluster: "Cluster") -> None:
         self.name = name
         self.zone = zone
         self.catalog = Catalog()
         self.index = 0
         self.went_back = False
         self._members = -1
-        links = cast(Links, VirtualLinks(name, world.network))
-        chooser = ReplicaChooser(name, zone, world.seeds)
+        links = cast(Links, VirtualLinks(name, cluster.network))
+        chooser = ReplicaChooser(name, zone, cluster.seeds)
         self.watcher = Watcher(chooser, links, self)
 
     def question(self, hold_s: float) -> WatchRequest:
-        """Build the question."""
-        word = EntryInfo(self.name, f"{self.name}:80", self.zone)
-        marks = self.catalog.watermarks
-        return WatchRequest(word, marks, self.index, self._members, hold_s)
+        """Build the watch request."""
+        info = EntryInfo(self.name, f"{self.name}:80", self.zone)
+        watermarks = self.catalog.watermarks
+        return WatchRequest(
+            info, watermarks, self.index, self._members, hold_s
+        )
 
     def hear(self, replica: str, reply: WatchReply) -> None:
-        """Take an answer."""
+        """Apply a reply."""
         now = asyncio.get_running_loop().time()
         if reply.replicas is not None:
             self.watcher.update(reply.replicas)
@@ -169,31 +171,31 @@
             self.catalog.apply(source, delta, now)
 
     def states(self) -> dict[str, str]:
-        """Map the endpoints that are known to their state."""
+        """Map the known endpoints to their state."""
         return {one.instance: one.state for one in self.catalog.live()}
 
 
 class Endpoint:
-    """Announce at one replica and at the next where that fails."""
+    """Announce to one replica, and to the next if that fails."""
 
-    def __init__(self, number: int, zone: str, world: "World") -> None:
+    def __init__(self, number: int, zone: str, cluster: "Cluster") -> None:
         self.name = f"i-{number}"
         self.left_at: float | None = None
         self._number = number
         self._zone = zone
-        self._world = world
+        self._cluster = cluster
         self._state = UP
         self._sequence = 0
         self._place = number
 
     async def live(self) -> None:
-        """Announce again and again."""
+        """Send heartbeats until the endpoint drains."""
         while self._state == UP:
             await self._announce()
             await asyncio.sleep(HEARTBEAT_S)
 
     async def leave(self) -> None:
-        """Announce that it leaves until that is acknowledged."""
+        """Announce the drain until it is acknowledged."""
         self._state = DRAINING
         for _ in range(MOST_TRIES):
             if await self._announce():
@@ -202,7 +204,7 @@
 
     async def _announce(self) -> bool:
         self._sequence += 1
-        word = Announcement(
+        announcement = Announcement(
             "desk",
             f"10.9.{self._number // 250}.{self._number % 250}:80",
             self._zone,
@@ -211,10 +213,10 @@
             state=self._state,
             instance=self.name,
         )
-        replicas = self._world.replicas
+        replicas = self._cluster.replicas
         replica = replicas[self._place % len(replicas)]
-        if not self._world.is_frozen(replica.address):
-            taking = replica.registrar.announce(word, self._sequence)
+        if not self._cluster.is_frozen(replica.address):
+            taking = replica.registrar.announce(announcement, self._sequence)
             try:
                 await asyncio.wait_for(taking, ACKNOWLEDGE_S)
                 return True
@@ -225,7 +227,7 @@
         return False
 
 
-class World:
+class Cluster:
     """Hold replicas, entries and endpoints in zones."""
 
     def __init__(
@@ -262,11 +264,11 @@
             for number in range(endpoints)
         ]
         self._tasks: list[asyncio.Task[None]] = []
-        # The newest change that was accepted.
+        # Index of the newest accepted change.
         self.index = 1
 
     async def start(self, settle_s: float) -> None:
-        """Start everything and wait."""
+        """Start everything and wait until it has settled."""
         for replica in self.replicas:
             replica.start()
         for entry in self.entries:
@@ -277,7 +279,7 @@
         await asyncio.sleep(settle_s)
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop everything."""
         for replica in self.replicas:
             replica.stop()
         for entry in self.entries:
@@ -286,21 +288,21 @@
             task.cancel()
 
     def freeze(self, address: str) -> None:
-        """Let a replica stand still."""
+        """Freeze a replica."""
         self._frozen.add(address)
         self.network.stop(address)
 
     def heal(self) -> None:
-        """End all disturbances."""
+        """End all faults."""
         self._frozen.clear()
         self.network.heal()
 
     def is_frozen(self, address: str) -> bool:
-        """Tell whether a replica stands still."""
+        """Return whether a replica is frozen."""
         return address in self._frozen
 
     def reaches_majority(self, address: str) -> bool:
-        """Tell whether a replica reaches more than half of all."""
+        """Return whether a replica reaches a majority, itself included."""
         if address in self._frozen:
             return False
         reached = 0
@@ -311,7 +313,7 @@
         return 2 * reached > len(self.members)
 
     async def change(self) -> int:
-        """Accept a change at the replicas that reach a majority."""
+        """Commit a change at the replicas that reach a majority."""
         self.index += 1
         await asyncio.sleep(COMMIT_S)
         for replica in self.replicas:
@@ -320,7 +322,7 @@
         return self.index
 
     def check_left(self, endpoint: Endpoint, entries: list[Entry]) -> None:
-        """Find no entry in touch that would still send to an endpoint."""
+        """Assert that no given entry still has an endpoint as up."""
         for entry in entries:
             assert entry.states().get(endpoint.name) != UP, entry.name
 
@@ -333,7 +335,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Give the daemons the loop's time."""
+    """Let the daemons use the loop's time."""
 
     def now() -> float:
         return asyncio.get_event_loop().time()
@@ -342,327 +344,328 @@
         monkeypatch.setattr(module, "boot_time", now)
 
 
-def play(world_of: Any, story: Any) -> None:
-    """Run a story in a world on virtual time."""
+def run_scenario(build: Any, scenario: Any) -> None:
+    """Run a scenario in a new cluster on virtual time."""
 
     async def run() -> None:
-        world = world_of()
+        cluster = build()
         try:
-            await story(world)
+            await scenario(cluster)
         finally:
-            world.stop()
+            cluster.stop()
         await asyncio.sleep(0)
 
     run_virtual(run())
 
 
-def small() -> World:
+def small() -> Cluster:
     """Build five replicas, fifteen entries, ten endpoints in five zones."""
-    return World(zones=5, entries=15, replicas=5, endpoints=10)
+    return Cluster(zones=5, entries=15, replicas=5, endpoints=10)
 
 
-def test_every_entry_asks_the_replica_of_its_zone_and_knows_all() -> None:
-    """Know every endpoint at every entry through one replica each."""
+def test_entries_watch_the_replica_of_their_zone_and_know_all() -> None:
+    """Deliver every endpoint to every entry through one replica each."""
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        expected = {one.name: UP for one in world.endpoints}
-        for entry in world.entries:
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        expected = {one.name: UP for one in cluster.endpoints}
+        for entry in cluster.entries:
             assert entry.states() == expected
-        for replica in world.replicas:
+        for replica in cluster.replicas:
             zone = next(
                 one.availability_zone
-                for one in world.members
+                for one in cluster.members
                 if one.name == replica.address
             )
             names = replica.registrar.applied()
             assert len(names) == 3
-            for entry in world.entries:
+            for entry in cluster.entries:
                 assert (entry.name in names) == (entry.zone == zone)
             usable = replica.registrar.resolve(zone)
             assert len(usable) == 3
             assert len(replica.registrar.resolve(None)) == 15
             assert replica.registrar.entries == 15
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 @pytest.mark.parametrize("place", range(5))
-def test_leaving_is_known_everywhere_when_it_is_acknowledged(
+def test_acknowledged_drain_is_known_everywhere(
     place: int,
 ) -> None:
-    """Acknowledge a leaving at one replica once entries of all know it.
+    """Acknowledge a drain once the entries of all replicas have it.
 
-    An endpoint says at one replica that it leaves. Entries ask others; one
-    that had not heard would send it calls after it has exited.
+    An endpoint announces its drain to one replica while most entries watch
+    others. An entry without it would send calls after the endpoint exits.
     """
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        endpoint = world.endpoints[place]
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        endpoint = cluster.endpoints[place]
         await endpoint.leave()
         assert endpoint.left_at is not None
-        world.check_left(endpoint, world.entries)
+        cluster.check_left(endpoint, cluster.entries)
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 @pytest.mark.parametrize("place", range(5))
-def test_leaving_while_a_replica_is_frozen(place: int) -> None:
-    """Wait for the entries of a frozen replica until they ask another.
+def test_drain_while_a_replica_is_frozen(place: int) -> None:
+    """Wait for the entries of a frozen replica until they watch another.
 
-    A replica freezes, and right after that an endpoint leaves elsewhere.
-    The frozen one's entries still rely on it. Were the leaving acknowledged
-    without them, they would send calls to a process that has exited.
+    A replica freezes, and right after that an endpoint drains elsewhere. The
+    entries of the frozen replica still rely on it. If the drain were
+    acknowledged without them, they would send calls to an exited process.
     """
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        frozen = world.replicas[place]
-        world.freeze(frozen.address)
-        endpoint = world.endpoints[(place + 1) % 5]
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        frozen = cluster.replicas[place]
+        cluster.freeze(frozen.address)
+        endpoint = cluster.endpoints[(place + 1) % 5]
         await endpoint.leave()
         assert endpoint.left_at is not None
-        world.check_left(endpoint, world.entries)
+        cluster.check_left(endpoint, cluster.entries)
         await asyncio.sleep(2.0)
-        # Thawed, it has old news; nobody goes back to it before it knows.
-        world.heal()
-        other = world.endpoints[5 + (place + 1) % 5]
+        # The thawed replica is stale; no entry may return to it before it
+        # has caught up.
+        cluster.heal()
+        other = cluster.endpoints[5 + (place + 1) % 5]
         await other.leave()
         for _ in range(40):
             await asyncio.sleep(0.1)
-            world.check_left(endpoint, world.entries)
+            cluster.check_left(endpoint, cluster.entries)
             if other.left_at is not None:
-                world.check_left(other, world.entries)
+                cluster.check_left(other, cluster.entries)
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
-def test_entry_that_does_not_get_its_answer_holds_no_leaving_up() -> None:
-    """Acknowledge a leaving at the first replica that is asked.
+def test_entry_that_misses_its_reply_delays_no_drain() -> None:
+    """Acknowledge a drain at the first replica despite a saturated link.
 
     An entry's link is full of long bodies, so that neither its replica's
-    answer nor its next question gets through in time. With hundreds of
-    entries there is always such a one; were each waited for as long as the
-    endpoint waits, none of its tries would ever be acknowledged.
+    reply nor its next watch arrives in time. Among hundreds of entries there
+    is always such a one; if it were waited for as long as the endpoint
+    waits, no drain would ever be acknowledged.
     """
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        slow = world.entries[0]
-        for replica in world.replicas:
-            world.network.cut(slow.name, replica.address)
-        word = Announcement(
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        slow = cluster.entries[0]
+        for replica in cluster.replicas:
+            cluster.network.cut(slow.name, replica.address)
+        announcement = Announcement(
             "desk", "10.9.0.1:80", "zone-1", 3, 0, DRAINING, "i-1"
         )
-        await world.replicas[1].registrar.announce(word, 10_000)
-        world.check_left(world.endpoints[1], world.entries[1:])
+        await cluster.replicas[1].registrar.announce(announcement, 10_000)
+        cluster.check_left(cluster.endpoints[1], cluster.entries[1:])
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
-def test_replica_cut_from_one_other_does_not_acknowledge_alone() -> None:
-    """Leave it to others to acknowledge what one replica cannot tell.
+def test_replica_cut_off_from_one_peer_does_not_acknowledge_alone() -> None:
+    """Leave a drain to replicas that reach all others.
 
     Two replicas do not reach each other; both reach the rest and their
-    entries. Neither may disregard the other: it still has entries.
+    entries. Neither may ignore the other, which still has entries.
     """
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        first, second = world.replicas[0], world.replicas[1]
-        world.network.cut(first.address, second.address)
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        first, second = cluster.replicas[0], cluster.replicas[1]
+        cluster.network.cut(first.address, second.address)
         await asyncio.sleep(5.0)
-        word = Announcement(
+        announcement = Announcement(
             "desk", "10.9.0.0:80", "zone-0", 3, 0, DRAINING, "i-0"
         )
         with pytest.raises(NotConfirmedError):
-            await first.registrar.announce(word, 10_000)
-        endpoint = world.endpoints[0]
+            await first.registrar.announce(announcement, 10_000)
+        endpoint = cluster.endpoints[0]
         await endpoint.leave()
         assert endpoint.left_at is not None
-        world.check_left(endpoint, world.entries)
+        cluster.check_left(endpoint, cluster.entries)
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 def test_entries_leave_a_replica_that_is_cut_off() -> None:
-    """Ask another replica where the own one hears no majority.
+    """Watch another replica if the active one lost its majority.
 
-    A replica is cut off from the others and reaches its entries. A change
-    is accepted meanwhile that it does not hear of.
+    A replica is partitioned from the others but reaches its entries, and
+    misses a change that is accepted meanwhile.
     """
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        alone = world.replicas[2]
-        for other in world.replicas:
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        alone = cluster.replicas[2]
+        for other in cluster.replicas:
             if other is not alone:
-                world.network.cut(alone.address, other.address)
-        await asyncio.sleep(TOUCH_S - BOUND_S)
-        index = await world.change()
+                cluster.network.cut(alone.address, other.address)
+        await asyncio.sleep(RECONNECT_S - BOUND_S)
+        index = await cluster.change()
         await asyncio.sleep(BOUND_S)
-        assert all(entry.index >= index for entry in world.entries)
+        assert all(entry.index >= index for entry in cluster.entries)
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 def test_entries_return_when_their_replica_is_back() -> None:
-    """Ask the zone's replica again soon after its freeze."""
+    """Watch the zone's replica again soon after its freeze."""
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        replica = world.replicas[3]
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        replica = cluster.replicas[3]
         before = set(replica.registrar.applied())
-        world.freeze(replica.address)
+        cluster.freeze(replica.address)
         await asyncio.sleep(4.0)
-        world.heal()
+        cluster.heal()
         await asyncio.sleep(4.0)
         assert set(replica.registrar.applied()) == before
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 def test_callers_get_the_entries_of_a_zone_from_any_replica() -> None:
-    """Name all entries of a zone whose replica is gone."""
+    """Return all entries of a zone whose replica is gone."""
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
-        world.freeze(world.replicas[1].address)
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
+        cluster.freeze(cluster.replicas[1].address)
         await asyncio.sleep(4.0)
-        for replica in world.replicas:
-            if replica is not world.replicas[1]:
+        for replica in cluster.replicas:
+            if replica is not cluster.replicas[1]:
                 assert len(replica.registrar.resolve("zone-1")) == 3
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
 @pytest.mark.parametrize("seed", [*range(12), 365])
-def test_promises_hold_under_random_faults(seed: int) -> None:
-    """Keep the promises to callers while replicas freeze and are cut off.
+def test_guarantees_hold_under_random_faults(seed: int) -> None:
+    """Keep the guarantees while replicas freeze or are partitioned.
 
-    Faults come one after the other, endpoints leave and the configuration
-    changes at any moment. What is acknowledged binds every entry within two
-    seconds, but for those disturbed within the last three.
+    One fault follows another while endpoints drain and the configuration
+    changes. Acknowledged drains and accepted changes bind every entry within
+    two seconds, except in the three seconds after a fault.
     """
     random = Random(seed)
 
-    async def story(world: World) -> None:
-        await world.start(4.0)
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(4.0)
         loop = asyncio.get_running_loop()
-        disturbed_at = -TOUCH_S
+        fault_at = -RECONNECT_S
         changes: list[tuple[float, int]] = []
-        leaving: list[Endpoint] = []
-        stay = list(world.endpoints)
+        draining: list[Endpoint] = []
+        remaining = list(cluster.endpoints)
         tasks = []
         for _ in range(160):
             await asyncio.sleep(0.1)
             now = loop.time()
             if random.random() < 0.03:
-                disturbed_at = now
-                _disturb(world, random)
-            if random.random() < 0.05 and len(stay) > 3:
-                endpoint = stay.pop(random.randrange(len(stay)))
-                leaving.append(endpoint)
+                fault_at = now
+                _inject_fault(cluster, random)
+            if random.random() < 0.05 and len(remaining) > 3:
+                endpoint = remaining.pop(random.randrange(len(remaining)))
+                draining.append(endpoint)
                 tasks.append(asyncio.ensure_future(endpoint.leave()))
             if random.random() < 0.1:
-                changes.append((now, await world.change()))
-            for entry in world.entries:
+                changes.append((now, await cluster.change()))
+            for entry in cluster.entries:
                 assert not entry.went_back
-            if now - disturbed_at < TOUCH_S:
+            if now - fault_at < RECONNECT_S:
                 continue
             for accepted_at, index in changes:
                 if now - accepted_at > BOUND_S:
-                    assert min(one.index for one in world.entries) >= index
-            for endpoint in leaving:
+                    assert min(one.index for one in cluster.entries) >= index
+            for endpoint in draining:
                 left_at = endpoint.left_at
                 if left_at is not None and now - left_at > BOUND_S:
-                    world.check_left(endpoint, world.entries)
-        world.heal()
+                    cluster.check_left(endpoint, cluster.entries)
+        cluster.heal()
         await asyncio.gather(*tasks)
         await asyncio.sleep(6.0)
-        expected = {one.name: UP for one in stay}
-        for entry in world.entries:
+        expected = {one.name: UP for one in remaining}
+        for entry in cluster.entries:
             known = entry.states()
             ups = {one: UP for one, state in known.items() if state == UP}
             assert ups == expected
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
-def _disturb(world: World, random: Random) -> None:
-    world.heal()
+def _inject_fault(cluster: Cluster, random: Random) -> None:
+    cluster.heal()
     kind = random.choice(["freeze", "cut off", "pair", "none"])
-    one, other = random.sample(world.replicas, 2)
+    one, other = random.sample(cluster.replicas, 2)
     if kind == "freeze":
-        world.freeze(one.address)
+        cluster.freeze(one.address)
     if kind == "pair":
-        world.network.cut(one.address, other.address)
+        cluster.network.cut(one.address, other.address)
     if kind == "cut off":
-        for third in world.replicas:
+        for third in cluster.replicas:
             if third is not one:
-                world.network.cut(one.address, third.address)
+                cluster.network.cut(one.address, third.address)
 
 
 def test_entry_starts_while_the_replica_of_its_zone_is_gone() -> None:
-    """Learn all from another replica where the nearest does not answer."""
+    """Get all endpoints from another replica if the nearest is down."""
 
-    async def story(world: World) -> None:
-        world.freeze(world.replicas[1].address)
-        await world.start(6.0)
-        expected = {one.name: UP for one in world.endpoints}
-        for entry in world.entries:
+    async def scenario(cluster: Cluster) -> None:
+        cluster.freeze(cluster.replicas[1].address)
+        await cluster.start(6.0)
+        expected = {one.name: UP for one in cluster.endpoints}
+        for entry in cluster.entries:
             assert entry.states() == expected
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
-def test_endpoints_are_sent_to_no_replica_that_is_silent() -> None:
-    """Name a replica of the endpoint's zone only while it is heard.
+def test_endpoints_are_referred_to_no_silent_replica() -> None:
+    """Refer endpoints to a replica of their zone only while it is reachable.
 
-    A replaced replica is listed for some seconds more. Sent there with
-    each heartbeat, an endpoint that leaves loses a second every time
-    before it tells another replica.
+    A replaced replica is listed for some seconds more. Referred there by
+    every reply, a draining endpoint would lose a second each time before it
+    announces to another replica.
     """
 
-    async def story(world: World) -> None:
-        await world.start(6.0)
-        asked, other = world.replicas[:2]
-        zone = world.members[1].availability_zone
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(6.0)
+        asked, other = cluster.replicas[:2]
+        zone = cluster.members[1].availability_zone
         nearest = asked.registrar.nearest
-        assert nearest(zone) == world.members[1].http_address
-        world.freeze(other.address)
+        assert nearest(zone) == cluster.members[1].http_address
+        cluster.freeze(other.address)
         await asyncio.sleep(GONE_AFTER_S)
         assert nearest(zone) is None
-        own = world.members[0]
+        own = cluster.members[0]
         assert nearest(own.availability_zone) == own.http_address
 
-    play(small, story)
+    run_scenario(small, scenario)
 
 
-def test_hundreds_of_entries_are_told_little() -> None:
-    """Tell 312 entries of 270 endpoints with few messages and bytes.
+def test_hundreds_of_entries_cause_little_traffic() -> None:
+    """Serve 270 endpoints to 312 entries with few messages and bytes.
 
-    Everything starts at once and runs for thirty seconds. With a question
-    of each entry at each replica this took some 41 MB between zones.
+    Everything starts at once and runs for thirty seconds. If each entry
+    watched every replica, this would take some 41 MB between zones.
     """
 
-    def large() -> World:
-        return World(zones=5, entries=312, replicas=5, endpoints=270)
+    def large() -> Cluster:
+        return Cluster(zones=5, entries=312, replicas=5, endpoints=270)
 
-    async def story(world: World) -> None:
-        await world.start(30.0)
-        expected = {one.name: UP for one in world.endpoints}
-        for entry in world.entries:
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.start(30.0)
+        expected = {one.name: UP for one in cluster.endpoints}
+        for entry in cluster.entries:
             assert entry.states() == expected
-        assert world.network.far_bytes < 4e6
-        # An exchange each 0.8 s for each entry, and what the start takes.
-        assert world.network.messages < 2 * 312 * (30 / 0.8 + 40)
-        endpoint = world.endpoints[7]
-        before = world.network.messages
+        assert cluster.network.far_bytes < 4e6
+        # One exchange per entry every 0.8 s, plus those of the start.
+        assert cluster.network.messages < 2 * 312 * (30 / 0.8 + 40)
+        endpoint = cluster.endpoints[7]
+        before = cluster.network.messages
         await endpoint.leave()
         assert endpoint.left_at is not None
-        world.check_left(endpoint, world.entries)
-        assert world.network.messages - before < 312 * 6
+        cluster.check_left(endpoint, cluster.entries)
+        assert cluster.network.messages - before < 312 * 6
 
-    play(large, story)
+    run_scenario(large, scenario)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Test what a control replica knows of the others."""
+"""Test how a control replica tracks the others."""
 
 import msgspec
 from nutmegchute_core.discovery import Discovery
@@ -11,23 +11,24 @@
 
 
 def reply() -> PeerReply:
-    """Build an answer that tells nothing new."""
+    """Build a reply without changes."""
     return PeerReply(1, None, 0, [], 0.0, 0)
 
 
 def start() -> Discovery:
-    """Start a replica that knows of three others."""
+    """Start a replica with three peers."""
     discovery = Discovery(OWN, 1, 0.0)
     discovery.peers.update(OTHERS, 0.0)
     return discovery
 
 
 def test_replica_that_is_gone_is_not_waited_for() -> None:
-    """Answer routers where two of four replicas are gone for good.
+    """Serve entries while two of four replicas are gone for good.
 
-    One was replaced and is still listed, another one has lost its disk;
-    the two that are left agree. They told routers for ever that they might
-    lack what most know, and every call was refused.
+    One was replaced and is still listed, another has lost its disk; the two
+    that remain agree. If they waited for the others, they would tell entries
+    for ever that they may be behind the majority, and every call would be
+    refused.
     """
     discovery = start()
     discovery.apply_reply(OTHERS[0], reply(), 0.1)
@@ -37,14 +38,14 @@
     assert discovery.is_caught_up(now)
 
 
-def test_replica_that_another_one_hears_is_waited_for() -> None:
-    """Count a replica that is cut off from this one alone."""
+def test_replica_that_is_reachable_by_another_is_waited_for() -> None:
+    """Count a replica that is unreachable from this one alone."""
     discovery = start()
     now = GONE_AFTER_S + REACHABLE_S
     request = discovery.build_request(OTHERS[0], 1.0, 0.0)
-    heard = msgspec.structs.replace(
+    relayed = msgspec.structs.replace(
         request, replica=OTHERS[0], reachable=OTHERS[1:]
     )
-    discovery.peers.record_request(heard, now)
+    discovery.peers.record_request(relayed, now)
     discovery.apply_reply(OTHERS[0], reply(), now)
     assert not discovery.is_caught_up(now)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run a loop on virtual time, and daemons' exchanges on a made-up network."""
+"""Run an event loop on virtual time and daemons on a simulated network."""
 
 import asyncio
 import selectors
@@ -19,28 +19,28 @@
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Let time pass where the loop would wait."""
+    """Advance the virtual time where the loop would wait."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Return what is ready at once, after time has passed."""
+        """Advance the time by the timeout and return what is ready."""
         if timeout is not None and timeout > 0:
             self.now += timeout
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Take the time from the selector."""
+    """Use the virtual time of the selector."""
 
     def __init__(self) -> None:
         self._virtual = VirtualSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        """Give the virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._virtual.now
 
 
@@ -51,7 +51,7 @@
 
 
 class Network:
-    """Carry exchanges between hosts; cut and freeze them."""
+    """Deliver messages between hosts, with cut links and frozen hosts."""
 
     def __init__(self, zones: dict[str, str]) -> None:
         self._zones = zones
@@ -63,22 +63,22 @@
         self.far_bytes = 0
 
     def cut(self, one: str, other: str) -> None:
-        """Hold back everything between two hosts."""
+        """Delay all messages between two hosts until ``heal``."""
         self._cut.add(frozenset((one, other)))
 
     def stop(self, host: str) -> None:
-        """Freeze a host: nothing reaches it or leaves it."""
+        """Freeze a host: delay all messages from and to it."""
         self._stopped.add(host)
 
     def heal(self) -> None:
-        """End all cuts and freezes; what was held back arrives."""
+        """End all cuts and freezes; deliver the delayed messages."""
         self._cut.clear()
         self._stopped.clear()
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def is_open(self, one: str, other: str) -> bool:
-        """Tell whether two hosts reach each other."""
+        """Return whether two hosts reach each other."""
         if one in self._stopped or other in self._stopped:
             return False
         return frozenset((one, other)) not in self._cut
@@ -86,11 +86,11 @@
     def serve(
         self, host: str, method: Method, handler: Callable[[Any], Any]
     ) -> None:
-        """Answer a method at a host."""
+        """Register the handler of a method at a host."""
         self._handlers[host, method.path] = handler
 
     async def carry(self, source: str, target: str, data: bytes) -> None:
-        """Bring a message from one host to another."""
+        """Deliver a message from one host to another."""
         while not self.is_open(source, target):
             await self._changed.wait()
         self.messages += 1
@@ -102,7 +102,7 @@
     async def exchange(
         self, source: str, target: str, method: Method, request: Any
     ) -> Any:
-        """Send a request; return the reply as the other side meant it."""
+        """Send an encoded request; return the decoded reply."""
         handler = self._handlers[target, method.path]
         data = _ENCODER.encode(request)
         await self.carry(source, target, data)
@@ -110,8 +110,8 @@
         try:
             await asyncio.wait([answering])
         except asyncio.CancelledError:
-            # The asker closed its connection; the other side sees it if
-            # the network still carries that.
+            # The client closed its connection; the server sees that only
+            # if the link is open.
             if self.is_open(source, target):
                 answering.cancel()
             raise
@@ -121,7 +121,7 @@
 
 
 class VirtualLinks:
-    """Stand for the links of one host."""
+    """Replace the links of one host."""
 
     def __init__(self, host: str, network: Network) -> None:
         self._host = host
@@ -130,13 +130,13 @@
     def serve(
         self, method: Method, handler: Callable[[Any], Awaitable[Any]]
     ) -> None:
-        """Answer a method by a coroutine."""
+        """Register the handler of a method."""
         self._network.serve(self._host, method, handler)
 
     async def ask(
         self, address: str, method: Method, request: Any, timeout_s: float
     ) -> Any | None:
-        """Ask another host; None says that no answer came in time."""
+        """Send a request to another host; return None on a timeout."""
         exchange = self._network.exchange(self._host, address, method, request)
         try:
             return await asyncio.wait_for(exchange, timeout_s)
@@ -144,11 +144,11 @@
             return None
 
     async def open(self, address: str, timeout_s: float) -> bool:
-        """Tell whether the other host is in reach."""
+        """Return whether the other host is reachable."""
         if self._network.is_open(self._host, address):
             return True
         await asyncio.sleep(timeout_s)
         return self._network.is_open(self._host, address)
 
     def drop(self, address: str) -> None:
-        """Close the connection, which holds no state here."""
+        """Close the connection, which has no state here."""
