--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -24,8 +24,8 @@
 from .members import Announcement
 from .policies import Policy
 from .pool_sets import PoolSet
-from .pools import CROWDED_RETRY_S
 from .pools import Pool
+from .pools import SHED_RETRY_S
 from .quarantines import FREE
 from .quarantines import QUARANTINED
 from .quarantines import QuarantineUpdate
@@ -108,10 +108,10 @@
         self._pools.configure(services, now)
 
     def apply_evacuations(
-        self, news: EvacuationUpdate, now: float
+        self, received: EvacuationUpdate, now: float
     ) -> list[Action]:
         """Apply the evacuated availability zones received from control."""
-        if not self._pools.evacuate(news, now):
+        if not self._pools.evacuate(received, now):
             return []
         return self._dispatch_all(now)
 
@@ -222,11 +222,13 @@
         return actions
 
     def apply_quarantine(
-        self, news: QuarantineUpdate, now: float
+        self, received: QuarantineUpdate, now: float
     ) -> list[Action]:
         """Apply the suspect and quarantined requests from control."""
         actions: list[Action] = []
-        self._release(self._isolation.apply_update(news, now), now, actions)
+        self._release(
+            self._isolation.apply_update(received, now), now, actions
+        )
         return actions
 
     def apply_ruling(
@@ -427,9 +429,7 @@
             return False
         pool.queue.remove(call.call_id)
         reason = "too many wait"
-        actions.append(
-            self._refuse_or_lose(pool, call, reason, CROWDED_RETRY_S)
-        )
+        actions.append(self._refuse_or_lose(pool, call, reason, SHED_RETRY_S))
         return True
 
     def _requery(self, call: Call, now: float, actions: list[Action]) -> None:
@@ -454,9 +454,10 @@
     def _exempt_call(self, pool: Pool, call: Call) -> int | None:
         """Return the call's id if it may be sent without a fresh report.
 
-        That is so only where no query is allowed at all. A call waits out
-        a budget that is used up for a moment: calls sent unseen would fill
-        the endpoints' queues, and every later query would find them full.
+        That is so only where no query is allowed at all. If the budget is
+        used up for a moment, the call waits: calls sent without a report
+        would fill the endpoints' queues, and later queries would find only
+        full endpoints.
         """
         return None if pool.may_query else call.call_id
 
@@ -678,7 +679,7 @@
         return Refuse(call.call_id, reason, retry_after_s)
 
     def _is_suspect(self, call: Call, now: float) -> bool:
-        """Return whether the request may crash endpoints: then no hedge."""
+        """Return whether the request may crash endpoints; it gets no hedge."""
         if call.trial_token:
             return True
         return self._isolation.check(call, now).outcome != FREE
@@ -686,7 +687,7 @@
     def _hold_or_refuse(
         self, pool: Pool, call: Call, now: float, actions: list[Action]
     ) -> bool:
-        """Hold or refuse a suspect or quarantined call; return if done."""
+        """Hold a suspect or refuse a quarantined call; return if either."""
         ruling = self._isolation.check(call, now)
         if ruling.outcome == FREE:
             return False
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -23,8 +23,8 @@
 # Covers an answer from within the region on a new connection. A call waits
 # no longer for an endpoint that may be unreachable.
 QUERY_TIMEOUT_S = 0.015
-# A call that finds all endpoints congested is held at the entry, from where
-# it can still go to any of them; endpoints that slow down when nearly full
+# A call that finds no free slot at any endpoint is held at the entry, from
+# where it can go to any of them; endpoints that slow down when nearly full
 # complete more calls per second with one slot left free. Reports on answers
 # to other calls show a free slot; without any, an endpoint is queried again
 # after this time.
@@ -38,7 +38,7 @@
 # mean of four multiples is on the wrong side of MIN_SLOWDOWN in 4 of 100
 # cases without a slowdown and in 5 of 100 at a factor of 1.7 (log-normal
 # service times, sigma 0.3). An estimate that is wrong decays.
-NEARLY_FULL = 0.8
+NEARLY_FULL_SHARE = 0.8
 INITIAL_FULL_FACTOR = 1.0
 MIN_ANSWERS = 4
 # A smaller slowdown is no reason to query further endpoints; medians of a
@@ -67,7 +67,7 @@
     """Track the load queries sent for one call or for its hedge.
 
     For a ``held`` call one round is sent, in any zone: reports on answers
-    to other calls cover its own zone, and while that is congested, local
+    to other calls cover its own zone, and while that is overloaded, local
     rounds would never find a free slot elsewhere.
     """
 
@@ -240,4 +240,4 @@
 
 def is_nearly_full(endpoint: Endpoint, load: float) -> bool:
     """Return whether one more call would make an endpoint nearly full."""
-    return load + 1 > max(1.0, NEARLY_FULL * endpoint.slots)
+    return load + 1 > max(1.0, NEARLY_FULL_SHARE * endpoint.slots)
--- a/packages/core/nutmegchute_core/inquiry_planners.py
+++ b/packages/core/nutmegchute_core/inquiry_planners.py
@@ -56,7 +56,7 @@
         return [endpoint.address for endpoint in found]
 
     def record_timeout(self, address: str, now: float) -> None:
-        """Avoid for a while an endpoint that did not answer in time."""
+        """Mark an endpoint that did not answer in time as unreachable."""
         endpoint = self._endpoints.get(address)
         if endpoint is None or endpoint.is_unreachable(now):
             return
--- a/packages/core/nutmegchute_core/limits.py
+++ b/packages/core/nutmegchute_core/limits.py
@@ -10,10 +10,10 @@
 class Window:
     """Adjust the window by additive increase, multiplicative decrease.
 
-    Each report carries one bit: whether the endpoint is congested. Entries
-    that share endpoints converge to equal shares by this rule without
-    coordination ("Congestion avoidance in computer networks", sections 5.1
-    and 5.2).
+    Each report counts as one bit: whether the endpoint is overloaded.
+    Entries that share endpoints converge to equal shares by this rule
+    without coordination ("Congestion avoidance in computer networks",
+    sections 5.1 and 5.2).
     """
 
     __slots__ = ("_min_size", "_shrunk_at", "_size")
@@ -41,10 +41,10 @@
             self._size = max(self._size, self._min_size)
 
     def record(
-        self, crowded: bool, in_flight: int, now: float, pause_s: float
+        self, overloaded: bool, in_flight: int, now: float, pause_s: float
     ) -> None:
         """Record one report; shrink at most once per ``pause_s``."""
-        if not crowded:
+        if not overloaded:
             if in_flight + 1 >= self.size / 2:
                 self._size = self.size + INCREASE / self.size
             return
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -98,14 +98,14 @@
         for name, pool in self.items():
             pool.update(by_service.get(name, []), now)
 
-    def evacuate(self, news: EvacuationUpdate, now: float) -> bool:
+    def evacuate(self, received: EvacuationUpdate, now: float) -> bool:
         """Apply the evacuated availability zones; return if they are newer.
 
         A replica that was frozen or partitioned may still send old ones.
         """
-        if news.index <= self._evacuations.index:
+        if received.index <= self._evacuations.index:
             return False
-        self._evacuations = news
+        self._evacuations = received
         for pool in self.values():
             pool.eligibility.evacuate(self._evacuated, now)
         return True
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -45,19 +45,19 @@
 TIMED_OUT_SHARE = 0.9
 # Retry-After of a call that is shed while others wait: soon enough to meet
 # its objective, and after the first reports of a free slot.
-CROWDED_RETRY_S = 0.02
+SHED_RETRY_S = 0.02
 TOO_LATE = "cannot be answered in time"
 ADMIT_SHARE = 0.5
 # Where calls are held until an endpoint has a free slot, those that can still
 # meet their objective go first, and wait less than the queue length suggests.
 HELD_ADMIT_SHARE = 0.9
 # Share of the time between its objective and its deadline in which a late
-# call leaves one slot of each endpoint to others. Goodput in the two seconds
-# after a power loss: 0.39 without yielding, 0.50 at a share of 0.5. In
-# simulation: 0.68 at 0.5, 0.77 at 0.8.
+# call leaves one slot of each endpoint to others. Credit for the answers in
+# the two seconds after a power loss: 0.39 without yielding, 0.50 at a share of
+# 0.5; in simulation 0.68 at 0.5 and 0.77 at 0.8.
 YIELD_SHARE = 0.8
-# Time between two sends while calls wait: the initial estimate, and the most
-# that a single gap counts.
+# Time between two sends while calls wait: the initial estimate, and the cap
+# on a single gap.
 INITIAL_SEND_GAP_S = 0.05
 MAX_SEND_GAP_S = 1.0
 # Bounds the latency estimates kept for rules that a newer configuration no
@@ -172,7 +172,7 @@
         first = not self._endpoints
         kept = {}
         slots = 0
-        most_slots = 0
+        max_slots = 0
         for announcement in announcements:
             address = announcement.endpoint
             endpoint = self._endpoints.get(address)
@@ -197,15 +197,15 @@
             endpoint.announcement = announcement
             kept[address] = endpoint
             slots += announcement.slots
-            most_slots = max(most_slots, announcement.slots)
+            max_slots = max(max_slots, announcement.slots)
         self._endpoints = kept
         self.eligibility.update(kept)
         share = slots / self._service.most_entries
-        self._window.set_share(share, most_slots)
+        self._window.set_share(share, max_slots)
         self.planner.update(kept)
 
     def admit(self, call: Call, now: float) -> str | None:
-        """Add to the budget for extra sends; return why to refuse, if so."""
+        """Earn tokens for extra sends; return why to refuse, if so."""
         if not call.is_retry:
             self._extra.earn()
         waiting = len(self.queue)
@@ -306,11 +306,11 @@
     ) -> bool:
         """Return whether a call may be sent to an endpoint now.
 
-        The window replaces knowledge of other entries' calls. Where
-        endpoints report, their reports decide, unless none could be queried
-        for an ``exempt`` call. A last slot, offered only when no other was
-        found, is used by calls that meet their objective there even at its
-        lower speed; others would be late and wait for another slot.
+        Where endpoints report their load, the reports decide, unless none
+        could be queried for an ``exempt`` call. Otherwise the window stands
+        in for the unknown calls of other entries. A last slot, offered only
+        when no other was found, is used by calls that meet their objective
+        there even at its lower speed; others would be late and wait.
         """
         slot = self.planner.slot_kind(address, now)
         if slot > NO_SLOT and self._should_yield(call, now):
@@ -367,7 +367,7 @@
         return f"{name}#{announcement.incarnation}"
 
     def instance_at(self, address: str) -> str:
-        """Return the name of the instance at an address, or an empty one."""
+        """Return the instance's name at an address; empty if unnamed."""
         endpoint = self._endpoints.get(address)
         return "" if endpoint is None else endpoint.announcement.instance
 
@@ -387,8 +387,8 @@
             return False
         if self._chooser.never_reports:
             # Free slots are unknown, and a hedge that takes a slot makes
-            # another call late. With zones of unequal load, 0.68 of the
-            # calls meet their objective without hedges, 0.64 with them.
+            # another call late. With unequal zones, 0.68 of the calls meet
+            # their objective without hedges, 0.64 with them.
             return False
         if len(call.attempts) >= call.rule.attempts:
             return False
@@ -406,7 +406,7 @@
         return found
 
     def hedge_delay_s(self, call: Call) -> float | None:
-        """Return when a call's first attempt counts as late, in seconds."""
+        """Return the delay until a first attempt is late, in seconds."""
         if not self._policy.hedging or len(call.attempts) > 1:
             return None
         rule_latency = self._latency_of(call)
@@ -465,7 +465,7 @@
         if not self._is_endpoint_failure(call, result):
             return
         if result.outcome == NOT_RUN:
-            self._mute(endpoint, now)
+            self._mark_unreachable(endpoint, now)
         self._chooser.record_failure(endpoint, now)
 
     def record_probe(
@@ -485,7 +485,7 @@
             self.eligibility.record_cold(endpoint, cold_s, now)
         if load is None:
             if not answered:
-                self._mute(endpoint, now)
+                self._mark_unreachable(endpoint, now)
                 return
             self._chooser.record_no_report()
             self._chooser.record_probe_answer(endpoint)
@@ -498,26 +498,26 @@
         at = self._probes.next_at
         if at is None or now < at:
             return None
-        suspect = self._chooser.next_ejected(now)
-        if suspect is None:
+        ejected = self._chooser.next_ejected(now)
+        if ejected is None:
             self._probes.postpone(now)
             return None
         self._probes.spend(now)
-        suspect.probed_at = now
-        return suspect.address
+        ejected.probed_at = now
+        return ejected.address
 
     def _record_answer(
         self, endpoint: Endpoint, result: Result, now: float
     ) -> None:
         self._chooser.record_answer(endpoint, result.latency_s, now)
         self._median.record(result.latency_s)
-        # Without load reports, only endpoints that shed count as congested.
-        crowded = result.load is not None and self._chooser.is_overloaded(
+        # Without load reports, only endpoints that shed count as overloaded.
+        overloaded = result.load is not None and self._chooser.is_overloaded(
             endpoint, result.load
         )
-        self._record_congestion(crowded, now)
+        self._record_overload(overloaded, now)
 
-    def _mute(self, endpoint: Endpoint, now: float) -> None:
+    def _mark_unreachable(self, endpoint: Endpoint, now: float) -> None:
         if self._policy.silence:
             endpoint.mark_unreachable(now)
 
@@ -529,10 +529,12 @@
         It is taken to have all slots in use and calls waiting.
         """
         endpoint.record_load(endpoint.slots + endpoint.in_flight, now)
-        self._record_congestion(True, now)
+        self._record_overload(True, now)
 
-    def _record_congestion(self, crowded: bool, now: float) -> None:
-        self._window.record(crowded, self.in_flight, now, self._median.value_s)
+    def _record_overload(self, overloaded: bool, now: float) -> None:
+        self._window.record(
+            overloaded, self.in_flight, now, self._median.value_s
+        )
 
     def _may_probe(self, service: Service) -> bool:
         return service.probes_per_s > 0 and self._policy.probing
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -19,7 +19,7 @@
 from nutmegchute_core.inquiries import REQUERY_S
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.policies import Policy
-from nutmegchute_core.pools import CROWDED_RETRY_S
+from nutmegchute_core.pools import SHED_RETRY_S
 from nutmegchute_core.routes import Route
 from nutmegchute_core.rules import Service
 
@@ -137,7 +137,7 @@
 
 
 def test_call_is_held_until_an_answer_tells_of_room() -> None:
-    """Hold a call while every endpoint is congested, then send it at once.
+    """Hold a call while every endpoint is overloaded, then send it at once.
 
     Endpoints slow down when nearly full: with more calls sent, all would
     take longer and throughput would fall. The report on the answer to
@@ -538,7 +538,7 @@
     assert sent_to(actions) == []
     _, actions = arrive_while_full(balancer, 5.3)
     (refusal,) = [one for one in actions if isinstance(one, Refuse)]
-    assert refusal.retry_after_s == CROWDED_RETRY_S
+    assert refusal.retry_after_s == SHED_RETRY_S
 
 
 def test_late_call_waits_only_alone() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,23 +13,25 @@
 
 
 def test_shrinks_once_per_pause() -> None:
-    """The window shrinks once per congestion, not on each report.
+    """The window shrinks once per pause, not on each report.
 
-    While an endpoint is congested every answer reports it. Shrinking on
+    While an endpoint is overloaded every answer reports it. Shrinking on
     each would reach the minimum within milliseconds and leave slots idle.
     """
     window = build_window()
     before = window.size
     for _ in range(5):
-        window.record(crowded=True, in_flight=16, now=1.0, pause_s=0.02)
+        window.record(overloaded=True, in_flight=16, now=1.0, pause_s=0.02)
     assert window.size == before * SHRINK_FACTOR
 
 
 def test_never_falls_below_the_minimum() -> None:
-    """Constant congestion does not shrink the window below its minimum."""
+    """Constant overload does not shrink the window below its minimum."""
     window = build_window()
     for step in range(500):
-        window.record(crowded=True, in_flight=9, now=float(step), pause_s=0.1)
+        window.record(
+            overloaded=True, in_flight=9, now=float(step), pause_s=0.1
+        )
     assert window.size == 8.0 * MIN_SHARE
 
 
@@ -40,9 +42,9 @@
     """
     window = build_window()
     before = window.size
-    window.record(crowded=False, in_flight=0, now=1.0, pause_s=0.1)
+    window.record(overloaded=False, in_flight=0, now=1.0, pause_s=0.1)
     assert window.size == before
-    window.record(crowded=False, in_flight=15, now=1.0, pause_s=0.1)
+    window.record(overloaded=False, in_flight=15, now=1.0, pause_s=0.1)
     assert window.size > before
 
 
