--- a/packages/core/nutmegchute_core/eligibility.py
+++ b/packages/core/nutmegchute_core/eligibility.py
@@ -1,7 +1,7 @@
-"""Know which endpoints of a service may get calls, and why none may.
+"""Decide which endpoints of a service may get calls, or why none may.
 
-Nothing goes to endpoints that leave or whose availability zone is
-evacuated; those that are cold get a few calls from a few entries.
+Draining endpoints and those in evacuated availability zones get no calls;
+cold endpoints get few calls, from few entries.
 """
 
 from random import Random
@@ -12,21 +12,22 @@
 from .warmups import WarmUpLimit
 from .warmups import WarmUps
 
-# Callers that an evacuation leaves without an endpoint come back spread
-# over this span: it lasts for seconds at least.
+# Range of Retry-After when all endpoints are evacuated, random to spread the
+# retries. An evacuation lasts for seconds at least.
 EVACUATED_RETRY_S = (0.5, 1.5)
-# Another entry may use the endpoints that are cold.
+# Range of Retry-After when other entries warm up all endpoints; a retry may
+# reach one of those entries.
 WARMING_RETRY_S = (0.1, 0.5)
-# An endpoint that told of no calls so lately is taken to run none.
+# Maximum age of a report without load for an endpoint to count as idle.
 IDLE_REPORT_S = 0.05
 EVACUATED = "every endpoint is in an evacuated availability zone"
 WARMING = "every endpoint is warming up and left to other entries"
 
 
 class Unavailable:
-    """Say why a call cannot be served, and when to come back.
+    """Hold why a call cannot be served and when to retry.
 
-    Without ``retry_after_s`` that is when those who wait are through.
+    Without ``retry_after_s``, retry when the queued calls are finished.
     """
 
     __slots__ = ("reason", "retry_after_s")
@@ -39,7 +40,7 @@
 
 
 class Eligibility:
-    """Tell a service's chooser which endpoints it may choose from."""
+    """Keep a service's chooser up to date with its eligible endpoints."""
 
     __slots__ = (
         "_chooser",
@@ -65,14 +66,14 @@
         self.configure(service)
 
     def configure(self, service: Service) -> None:
-        """Take what a newer configuration says of the service."""
+        """Apply a new configuration of the service."""
         self._service = service
         self._chooser.warm_up = WarmUpLimit(
             self._warm_ups, service.warm_up_per_s
         )
 
     def update(self, endpoints: dict[str, Endpoint]) -> None:
-        """Take the endpoints that are live."""
+        """Replace the live endpoints."""
         self._endpoints = endpoints
         for endpoint in endpoints.values():
             endpoint.evacuated = endpoint.zone in self._evacuated
@@ -81,14 +82,14 @@
         )
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
-        """Take the availability zones that get nothing from now on.
+        """Replace the evacuated availability zones.
 
-        The endpoints of those that are taken back may have become cold, of
-        which this entry has heard nothing yet.
+        Endpoints of zones that are no longer evacuated count as cold: they may
+        have become so without a report to this entry.
         """
-        taken_back = self._evacuated - zones
+        readmitted = self._evacuated - zones
         for endpoint in self._endpoints.values():
-            if endpoint.zone in taken_back:
+            if endpoint.zone in readmitted:
                 self.record_cold(endpoint, self._service.warm_up_s, now)
         self._evacuated = zones
         self.update(self._endpoints)
@@ -96,19 +97,19 @@
     def record_cold(
         self, endpoint: Endpoint, cold_s: float, now: float
     ) -> None:
-        """Take word of how long an endpoint is still cold."""
+        """Record for how long an endpoint is still cold, in seconds."""
         if self._chooser.warm_up.applies:
             endpoint.cold_until = now + cold_s
 
     def find_idle(self, avoid: list[str], now: float) -> str | None:
-        """Return an endpoint that runs nothing, as far as is known."""
+        """Return the address of an endpoint without known calls, if any."""
         for address, endpoint in self._endpoints.items():
             if address not in avoid and self._is_idle(endpoint, now):
                 return address
         return None
 
     def unavailable(self, now: float) -> Unavailable | None:
-        """Say why no call can be served here now, if so."""
+        """Return why no call can be served now, or None."""
         if self._chooser.is_empty:
             if not any(one.evacuated for one in self._endpoints.values()):
                 return None
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -1,4 +1,4 @@
-"""Bound the calls to cold endpoints over all entries together."""
+"""Test the bound on calls from all entries to a cold endpoint."""
 
 from random import Random
 
@@ -30,11 +30,11 @@
 PER_S = 6.1
 OVERAGE = 1.5
 SLACK = 8
-# What an endpoint bears in any second: 17.15.
+# Calls that an endpoint bears in any second: 17.15, rounded down.
 BOUND = 17
 ZONES = ["az-1", "az-2", "az-3"]
-# How late an entry in touch hears of other entries.
-NEWS_S = 2.0
+# Longest delay until a connected entry knows of another.
+MAX_DELAY_S = 2.0
 TRY_S = 0.02
 WORK_S = 0.3
 
@@ -53,20 +53,20 @@
 
 
 def names(count: int) -> dict[str, str]:
-    """Map the names of entries to their zones."""
+    """Build a mapping of entry names to zones."""
     return {f"entry-{n}": ZONES[n % 3] for n in range(count)}
 
 
-def told(entry: str, zones: dict[str, str], now: float) -> WarmUps:
-    """Build what an entry knows that was told of others at a time."""
+def build_warm_ups(entry: str, zones: dict[str, str], now: float) -> WarmUps:
+    """Build the warm-ups of an entry that knows the given entries."""
     found = WarmUps(entry)
     found.set_margin(OVERAGE, SLACK)
     found.update_group(group_of(zones), now)
     return found
 
 
-class Greedy:
-    """Send to one cold endpoint whenever that is allowed."""
+class GreedyEntry:
+    """Send to one cold endpoint whenever the limit allows it."""
 
     def __init__(self, warm_ups: WarmUps, phase: float) -> None:
         self.warm_ups = warm_ups
@@ -77,7 +77,7 @@
         self._ends: list[float] = []
 
     def step(self, now: float) -> bool:
-        """Send if that is allowed; return whether it was."""
+        """Send if the limit allows it; return whether it did."""
         while self._ends and self._ends[0] <= now:
             self._ends.pop(0)
             self._endpoint.in_flight -= 1
@@ -88,8 +88,8 @@
         return True
 
 
-def worst_second(sent: list[float]) -> int:
-    """Count the most sends in any second."""
+def max_per_second(sent: list[float]) -> int:
+    """Return the largest number of sends in any second."""
     sent.sort()
     most = 0
     first = 0
@@ -100,8 +100,10 @@
     return most
 
 
-def play(entries: list[Greedy], begin: float, end: float) -> list[float]:
-    """Let all entries try again and again; return when they sent."""
+def run_entries(
+    entries: list[GreedyEntry], begin: float, end: float
+) -> list[float]:
+    """Let all entries try repeatedly; return the times of their sends."""
     sent = []
     for turn in range(int((end - begin) / TRY_S)):
         for entry in entries:
@@ -113,73 +115,80 @@
 
 @pytest.mark.parametrize("count", [1, 3, 17, 135, 312])
 def test_entries_together_keep_the_bound_and_use_it(count: int) -> None:
-    """Guard against many entries that each send only a little."""
+    """Guard against many entries whose small rates add up to too much."""
     random = Random(count)
     zones = names(count)
     entries = [
-        Greedy(told(one, zones, 0.0), random.random() * TRY_S) for one in zones
+        GreedyEntry(build_warm_ups(one, zones, 0.0), random.random() * TRY_S)
+        for one in zones
     ]
-    sent = play(entries, SETTLE_S + 0.1, SETTLE_S + 5.1)
-    assert worst_second(sent) <= BOUND
+    sent = run_entries(entries, SETTLE_S + 0.1, SETTLE_S + 5.1)
+    assert max_per_second(sent) <= BOUND
     assert len(sent) / 5.0 >= PER_S
 
 
 @pytest.mark.parametrize("count", [17, 135, 312])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_bound_holds_while_entries_come_and_start_anew(
+def test_bound_holds_while_entries_join_and_restart(
     count: int, seed: int
 ) -> None:
-    """Guard against lists of entries that are late, or lost in a restart.
+    """Guard against groups that arrive late or are lost in a restart.
 
-    A third of the entries comes during the warm-up, each heard of late by
-    the others; a tenth is out of touch and never hears of them; a tenth
-    starts again and knows nothing.
+    A third of the entries joins during the warm-up and becomes known to the
+    others late. A tenth is disconnected and never knows of them, and a tenth
+    restarts without any state.
     """
     random = Random(seed)
     zones = names(count)
-    here = dict(list(zones.items())[: 2 * count // 3])
+    first_zones = dict(list(zones.items())[: 2 * count // 3])
     entries = []
-    news: list[tuple[float, int, dict[str, str]]] = []
+    updates: list[tuple[float, int, dict[str, str]]] = []
     for number, name in enumerate(zones):
-        comes_at = 0.0 if name in here else SETTLE_S + random.random()
-        first = here if name in here else zones
+        comes_at = 0.0 if name in first_zones else SETTLE_S + random.random()
+        first = first_zones if name in first_zones else zones
         entries.append(
-            Greedy(told(name, first, comes_at), random.random() * TRY_S)
+            GreedyEntry(
+                build_warm_ups(name, first, comes_at), random.random() * TRY_S
+            )
         )
         if random.random() > 0.1:
-            heard_at = SETTLE_S + 1.0 + random.random() * NEWS_S
-            news.append((heard_at, number, zones))
+            arrives_at = SETTLE_S + 1.0 + random.random() * MAX_DELAY_S
+            updates.append((arrives_at, number, zones))
         if random.random() < 0.1:
-            news.append((SETTLE_S + 3.0 * random.random(), number, {}))
-    news.sort(key=lambda one: one[0])
+            updates.append((SETTLE_S + 3.0 * random.random(), number, {}))
+    updates.sort(key=lambda one: one[0])
     sent: list[float] = []
     now = SETTLE_S + 0.1
     while now < SETTLE_S + 8.0:
-        while news and news[0][0] <= now:
-            at, number, heard = news.pop(0)
-            if heard:
-                entries[number].warm_ups.update_group(group_of(heard), at)
+        while updates and updates[0][0] <= now:
+            at, number, known_zones = updates.pop(0)
+            if known_zones:
+                entries[number].warm_ups.update_group(
+                    group_of(known_zones), at
+                )
                 continue
             name = list(zones)[number]
             phase = random.random() * TRY_S
-            entries[number] = Greedy(told(name, zones, at), phase)
-        sent += play(entries, now, now + TRY_S)
+            entries[number] = GreedyEntry(
+                build_warm_ups(name, zones, at), phase
+            )
+        sent += run_entries(entries, now, now + TRY_S)
         now += TRY_S
     assert sent
-    assert worst_second(sent) <= BOUND
+    assert max_per_second(sent) <= BOUND
 
 
-def test_entry_that_starts_uses_no_cold_endpoint_yet() -> None:
-    """Guard against entries that start together and know of no others."""
+def test_new_entry_uses_no_cold_endpoint_at_first() -> None:
+    """Guard against entries that start together and know only themselves."""
     zones = names(3)
-    entry = Greedy(told("entry-0", zones, 10.0), 0.0)
+    entry = GreedyEntry(build_warm_ups("entry-0", zones, 10.0), 0.0)
     assert not entry.step(10.0)
     assert not entry.step(10.0 + SETTLE_S - 0.1)
     assert entry.step(10.0 + SETTLE_S + 0.1)
 
 
-def test_lists_that_hold_no_more_are_forgotten() -> None:
-    """Guard against a list kept for each entry that ever came or left."""
+def test_replaced_groups_are_dropped() -> None:
+    """Guard against groups that pile up with each change of entries."""
     warm_ups = WarmUps("entry-0")
     for second in range(100):
         warm_ups.update_group(group_of(names(second % 7 + 1)), float(second))
@@ -187,19 +196,21 @@
 
 
 def test_entries_of_the_endpoints_zone_go_first() -> None:
-    """Guard against calls between zones where those near would do."""
+    """Guard against calls from other zones where local entries suffice."""
     zones = names(135)
     members = [
         zone
         for name, zone in zones.items()
-        if Greedy(told(name, zones, 0.0), 0.0).step(SETTLE_S + 1.0)
+        if GreedyEntry(build_warm_ups(name, zones, 0.0), 0.0).step(
+            SETTLE_S + 1.0
+        )
     ]
     assert len(members) == BOUND // 2
     assert set(members) == {ZONES[0]}
 
 
-def entry_of(count: int) -> Balancer:
-    """Build the decisions of the first of some entries."""
+def build_balancer(count: int) -> Balancer:
+    """Build the balancer of the first of ``count`` entries."""
     built = Balancer(1, ZONES[0], name="entry-0")
     built.warm_ups.set_margin(OVERAGE, SLACK)
     built.warm_ups.update_group(group_of(names(count)), 0.0)
@@ -210,12 +221,12 @@
 
 
 def sends(actions: list[Action]) -> list[Send]:
-    """Pick what is sent to endpoints."""
+    """Return the sends among actions."""
     return [one for one in actions if isinstance(one, Send)]
 
 
 def call(balancer: Balancer, now: float) -> list[str]:
-    """Make a call that is answered at once; return where it went."""
+    """Make a call that is answered at once; return where it was sent."""
     call_id, actions = balancer.arrive(SERVICE, "GET", "/a", now)
     reached = []
     for send in sends(actions):
@@ -226,9 +237,9 @@
     return reached
 
 
-def test_calls_go_to_warm_endpoints_beyond_the_pace() -> None:
-    """Guard against a newcomer that gets calls as the least loaded."""
-    balancer = entry_of(17)
+def test_calls_beyond_the_bound_go_to_warm_endpoints() -> None:
+    """Guard against a cold endpoint that gets calls as the least loaded."""
+    balancer = build_balancer(17)
     warm = [endpoint(number, 0.0) for number in range(2, 5)]
     balancer.update_upstreams([endpoint(1), *warm], 5.0)
     reached = []
@@ -238,9 +249,9 @@
     assert reached.count("10.0.0.1:80") <= 2
 
 
-def test_call_is_refused_at_once_where_others_warm_the_endpoints() -> None:
-    """Guard against a wait for endpoints that this entry will not use."""
-    balancer = entry_of(135)
+def test_call_is_refused_if_others_warm_up_the_endpoints() -> None:
+    """Guard against queueing for endpoints that this entry may not use."""
+    balancer = build_balancer(135)
     refused = 0
     for number in range(1, 13):
         balancer.update_upstreams([endpoint(number)], 5.0)
@@ -253,9 +264,9 @@
     assert refused >= 6
 
 
-def test_endpoint_that_becomes_cold_is_told_by_its_health_page() -> None:
-    """Guard against calls to an endpoint that turned cold unannounced."""
-    balancer = entry_of(135)
+def test_health_page_reports_that_an_endpoint_is_cold() -> None:
+    """Guard against calls to an endpoint that became cold unannounced."""
+    balancer = build_balancer(135)
     cold = [endpoint(number, 0.0) for number in range(1, 13)]
     balancer.update_upstreams(cold, 5.0)
     assert call(balancer, 5.0)
@@ -274,11 +285,11 @@
     assert call(balancer, 7.0)
 
 
-def test_zone_that_is_taken_back_is_held_for_cold() -> None:
-    """Guard against a zone's whole load on endpoints that turned cold."""
-    balancer = entry_of(135)
-    known = [endpoint(number, 0.0) for number in range(1, 13)]
-    balancer.update_upstreams(known, 5.0)
+def test_zone_counts_as_cold_after_its_evacuation() -> None:
+    """Guard against a zone's whole load on endpoints that became cold."""
+    balancer = build_balancer(135)
+    announced = [endpoint(number, 0.0) for number in range(1, 13)]
+    balancer.update_upstreams(announced, 5.0)
     balancer.apply_evacuations(EvacuationUpdate(1, [ZONES[0]]), 6.0)
     assert not call(balancer, 7.0)
     balancer.apply_evacuations(EvacuationUpdate(2, []), 8.0)
@@ -289,8 +300,8 @@
     assert call(balancer, 11.1)
 
 
-def test_word_that_an_endpoint_is_cold_anew_is_news() -> None:
-    """Guard against entries that never hear of a second warm-up."""
+def test_second_warm_up_counts_as_a_change() -> None:
+    """Guard against a second warm-up that does not reach the entries."""
     registry = Registry(1)
     assert registry.register(endpoint(1, 3.0), 1, 0.0) == CHANGED
     assert registry.register(endpoint(1, 1.4), 2, 1.5) == RENEWED
@@ -300,8 +311,8 @@
     assert present.cold_s == pytest.approx(2.0)
 
 
-def test_replica_lists_all_entries_once_the_others_have_told() -> None:
-    """Guard against a list that names only who was quickest."""
+def test_replica_builds_a_group_once_the_others_have_reported() -> None:
+    """Guard against a group of only the first entries to connect."""
     discovery = Discovery("a:1", 1, 0.0)
     discovery.peers.update(["b:1"], 0.0)
     for name, zone in names(5).items():
