--- a/packages/daemon/nutmegchute_daemon/claims.py
+++ b/packages/daemon/nutmegchute_daemon/claims.py
@@ -1,4 +1,4 @@
-"""Claim requests in the ledger, many at a time."""
+"""Claim idempotency keys in the ledger, in batches."""
 
 import asyncio
 import hashlib
@@ -22,12 +22,12 @@
 
 CLAIM = Method("Ledger", "Claim", ClaimRequest, ClaimReply)
 
-CLAIM_S = 1.0
-ASK_S = 0.5
-DOWN_S = 0.5
+CLAIM_TIMEOUT_S = 1.0
+ATTEMPT_TIMEOUT_S = 0.5
+UNAVAILABLE_S = 0.5
 RETRY_S = 0.05
 MAX_BATCH = 512
-MAX_WAITING = 4096
+MAX_PENDING = 4096
 MAX_SETTLEMENTS = 16384
 MAX_KEY_LENGTH = 255
 DIGEST_BYTES = 16
@@ -37,7 +37,7 @@
 
 
 class InvalidKeyError(DaemonError):
-    """Say that an idempotency key cannot be taken."""
+    """Report an invalid idempotency key."""
 
 
 def build_claim(
@@ -47,8 +47,8 @@
 
     :raises KeyFormError: the key is empty, too long or not plain ASCII
     """
-    plain = key.isascii() and key.isprintable()
-    if not 0 < len(key) <= MAX_KEY_LENGTH or not plain:
+    is_plain = key.isascii() and key.isprintable()
+    if not 0 < len(key) <= MAX_KEY_LENGTH or not is_plain:
         raise InvalidKeyError(
             f"the key must be 1 to {MAX_KEY_LENGTH} printable ASCII characters"
         )
@@ -63,7 +63,7 @@
 
 
 class LedgerClock:
-    """Measure the time between a leader's batches, by its own clock."""
+    """Measure the time between a leader's batches by its own clock."""
 
     __slots__ = ("_at", "_term")
 
@@ -72,10 +72,10 @@
         self._at = 0.0
 
     def elapsed_s(self, term: int, now: float) -> float:
-        """Give the time since the last batch of this term, or 0.
+        """Return the time since the last batch of this term, or 0.
 
-        What passed between two leaders is not counted: keys are kept
-        longer then, never shorter.
+        Time between two leaders is not counted, so that keys are kept
+        longer, never shorter.
         """
         elapsed_s = now - self._at if term == self._term else 0.0
         self._term = term
@@ -83,8 +83,8 @@
         return elapsed_s
 
 
-class Waiting:
-    """Hold a claim until its answer comes or its time is over."""
+class PendingClaim:
+    """Hold a claim until it is answered or times out."""
 
     __slots__ = ("claim", "give_up_at", "on_answer")
 
@@ -99,18 +99,18 @@
 class Claimer:
     """Send claims and settlements to the ledger, one request at a time.
 
-    While a request is under way the next ones gather, so that the log's
-    sync is shared by all of them. The whole lives on the loop.
+    Claims made while a request is in flight share the next one, and thus one
+    sync of the log. Not thread-safe: use it on the event loop only.
     """
 
     __slots__ = (
-        "_down_until",
+        "_unavailable_until",
         "_links",
         "_loop",
         "_settings",
         "_settlements",
-        "_turn",
-        "_waiting",
+        "_replica_position",
+        "_pending",
         "_wake",
     )
 
@@ -123,111 +123,116 @@
         self._settings = settings
         self._links = links
         self._loop = loop
-        self._waiting: deque[Waiting] = deque()
+        self._pending: deque[PendingClaim] = deque()
         self._settlements: deque[Settlement] = deque()
         self._wake = asyncio.Event()
-        self._turn = 0
-        self._down_until = 0.0
+        self._replica_position = 0
+        self._unavailable_until = 0.0
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing waits for the ledger."""
-        return not self._waiting and not self._settlements
+        """Whether no claim and no settlement is pending."""
+        return not self._pending and not self._settlements
 
     def claim(self, claim: Claim, wait_s: float, on_answer: OnAnswer) -> None:
-        """Ask for a claim; None as answer says that it was not made.
+        """Submit a claim; ``on_answer`` gets None if it could not be made.
 
-        Then the request must not be sent, and its caller may be told so.
+        Then the request must not be sent, and its caller may be answered
+        that it did not run.
         """
         now = self._loop.time()
-        if now < self._down_until or len(self._waiting) >= MAX_WAITING:
+        if now < self._unavailable_until or len(self._pending) >= MAX_PENDING:
             on_answer(None)
             return
-        give_up_at = now + min(wait_s, CLAIM_S)
-        self._waiting.append(Waiting(claim, give_up_at, on_answer))
+        give_up_at = now + min(wait_s, CLAIM_TIMEOUT_S)
+        self._pending.append(PendingClaim(claim, give_up_at, on_answer))
         self._wake.set()
 
     def settle(self, settlement: Settlement) -> None:
-        """Record what became of a claimed request."""
+        """Queue the outcome of a claimed request for the ledger."""
         if len(self._settlements) >= MAX_SETTLEMENTS:
-            # Left unsettled, a claim reads "unknown": never false.
+            # Unsettled, the claim stays open, and callers that resend its
+            # key get the outcome "unknown", which is never false.
             return
         self._settlements.append(settlement)
         self._wake.set()
 
     async def run(self) -> None:
-        """Send one gathered request and tell its claims' answers."""
+        """Send one batch and pass on the answers of its claims."""
         if self.idle:
             self._wake.clear()
             await self._wake.wait()
-        waiting = self._take()
+        batch = self._next_batch()
         settlements = list(self._settlements)[:MAX_BATCH]
-        request = ClaimRequest([one.claim for one in waiting], settlements)
+        request = ClaimRequest([one.claim for one in batch], settlements)
         give_up_at = max(
-            (one.give_up_at for one in waiting),
-            default=self._loop.time() + CLAIM_S,
+            (one.give_up_at for one in batch),
+            default=self._loop.time() + CLAIM_TIMEOUT_S,
         )
-        answers = await self._ask(request, give_up_at)
+        answers = await self._send(request, give_up_at)
         if answers is None:
-            self._fail(waiting)
+            self._fail_batch(batch)
             return
-        self._down_until = 0.0
+        self._unavailable_until = 0.0
         for _ in settlements:
             self._settlements.popleft()
-        for one, answer in zip(waiting, answers, strict=True):
+        for one, answer in zip(batch, answers, strict=True):
             one.on_answer(answer)
 
-    def _take(self) -> list[Waiting]:
+    def _next_batch(self) -> list[PendingClaim]:
         now = self._loop.time()
-        waiting: list[Waiting] = []
-        while self._waiting and len(waiting) < MAX_BATCH:
-            one = self._waiting.popleft()
+        batch: list[PendingClaim] = []
+        while self._pending and len(batch) < MAX_BATCH:
+            one = self._pending.popleft()
             if now < one.give_up_at:
-                waiting.append(one)
+                batch.append(one)
                 continue
             one.on_answer(None)
-        return waiting
-
-    def _fail(self, waiting: list[Waiting]) -> None:
-        log(Event.LEDGER_UNREACHABLE, "warning", claims=len(waiting))
-        self._down_until = self._loop.time() + DOWN_S
-        for one in waiting:
-            # The claim may be in the log all the same. Its request is not
-            # sent any more, so the key must not stay taken.
+        return batch
+
+    def _fail_batch(self, batch: list[PendingClaim]) -> None:
+        log(Event.LEDGER_UNREACHABLE, "warning", claims=len(batch))
+        self._unavailable_until = self._loop.time() + UNAVAILABLE_S
+        for one in batch:
+            # The claim may be in the log all the same. Its request will not be
+            # sent, so release the key.
             self.settle(Settlement(one.claim, NOT_RUN))
-        everyone = [*waiting, *self._waiting]
-        self._waiting.clear()
-        for one in everyone:
+        failed = [*batch, *self._pending]
+        self._pending.clear()
+        for one in failed:
             one.on_answer(None)
 
-    async def _ask(
+    async def _send(
         self, request: ClaimRequest, give_up_at: float
     ) -> list[ClaimAnswer] | None:
-        peers = self._settings.control
-        refused = 0
-        while peers and self._loop.time() < give_up_at:
-            peer = peers[self._turn % len(peers)]
+        replicas = self._settings.control
+        failures = 0
+        while replicas and self._loop.time() < give_up_at:
+            replica = replicas[self._replica_position % len(replicas)]
             left_s = give_up_at - self._loop.time()
             reply = await self._links.ask(
-                peer.grpc_address, CLAIM, request, min(ASK_S, left_s)
+                replica.grpc_address,
+                CLAIM,
+                request,
+                min(ATTEMPT_TIMEOUT_S, left_s),
             )
             if reply is not None and reply.answers is not None:
                 answers: list[ClaimAnswer] = reply.answers
                 return answers
-            refused += 1
+            failures += 1
             leader = reply.leader if reply is not None else None
-            self._turn_to(leader, peer.name)
-            if refused >= 2 * len(peers):
+            self._select_replica(leader, replica.name)
+            if failures >= 2 * len(replicas):
                 return None
             await asyncio.sleep(RETRY_S)
         return None
 
-    def _turn_to(self, leader: str | None, asked: str) -> None:
-        for place, peer in enumerate(self._settings.control):
-            if peer.name == leader and leader != asked:
-                self._turn = place
+    def _select_replica(self, leader: str | None, tried: str) -> None:
+        for position, replica in enumerate(self._settings.control):
+            if replica.name == leader and leader != tried:
+                self._replica_position = position
                 return
-        self._turn += 1
+        self._replica_position += 1
 
 
 def _digest(*parts: bytes) -> bytes:
--- a/packages/daemon/nutmegchute_daemon/evacuations.py
+++ b/packages/daemon/nutmegchute_daemon/evacuations.py
@@ -1,4 +1,4 @@
-"""Take operators' orders about availability zones, on the leader."""
+"""Serve operators' orders to evacuate availability zones, on the leader."""
 
 from nutmegchute_core.evacuations import EvacuationOrder
 from nutmegchute_core.evacuations import EvacuationOutcome
@@ -9,7 +9,7 @@
 
 
 class EvacuationServer:
-    """Put orders to evacuate availability zones into the log."""
+    """Propose evacuation orders to the replicated log."""
 
     __slots__ = ("_agreement",)
 
@@ -17,13 +17,13 @@
         self._agreement = agreement
 
     async def submit(self, order: EvacuationOrder) -> bool:
-        """Give an order; tell if it changed anything.
+        """Propose an order and return whether it changed anything.
 
-        It cannot be lost any more when this returns, and every entry heeds
-        it as soon as it has heard of it.
+        On return the order is committed; each entry applies it with its next
+        update.
 
-        :raises NotLeaderError: ask the leader instead
-        :raises TimeoutError: the outcome is not known; send it again
+        :raises NotLeaderError: send the order to the leader
+        :raises TimeoutError: the outcome is unknown; send the order again
         """
         outcome = await self._agreement.propose(order)
         assert isinstance(outcome, EvacuationOutcome)
--- a/packages/daemon/nutmegchute_daemon/proposals.py
+++ b/packages/daemon/nutmegchute_daemon/proposals.py
@@ -1,4 +1,4 @@
-"""Hold what waits for the log's decisions."""
+"""Wait for proposed log entries to be committed and applied."""
 
 import asyncio
 
@@ -8,44 +8,45 @@
 
 
 class PendingProposals:
-    """Resolve futures by their place in the log."""
+    """Resolve the futures of proposals by log index."""
 
-    __slots__ = ("_loop", "_places")
+    __slots__ = ("_loop", "_futures")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._places: dict[int, tuple[int, asyncio.Future[Outcome]]] = {}
+        self._futures: dict[int, tuple[int, asyncio.Future[Outcome]]] = {}
 
     async def wait(self, index: int, term: int) -> Outcome:
-        """Wait for what became of the entry proposed at a place.
+        """Return the outcome of the entry proposed at an index.
 
-        :raises NotLeaderError: another entry took the place, so this one
-            never happened
+        :raises NotLeaderError: another entry was committed at the index, so
+            this one never will be
+        :raises TimeoutError: the outcome is unknown
         """
         future: asyncio.Future[Outcome] = self._loop.create_future()
-        self._places[index] = (term, future)
+        self._futures[index] = (term, future)
         try:
             return await future
         finally:
-            if self._places.get(index) == (term, future):
-                del self._places[index]
+            if self._futures.get(index) == (term, future):
+                del self._futures[index]
 
-    def resolve(self, decided: AppliedEntry) -> None:
-        """Tell the waiter of a place what was decided there."""
-        waiting = self._places.pop(decided.entry.index, None)
-        if waiting is None:
+    def resolve(self, applied: AppliedEntry) -> None:
+        """Resolve the proposal at the index of an applied entry."""
+        pending = self._futures.pop(applied.entry.index, None)
+        if pending is None:
             return
-        term, future = waiting
+        term, future = pending
         if future.done():
             return
-        if term == decided.entry.term:
-            future.set_result(decided.outcome)
+        if term == applied.entry.term:
+            future.set_result(applied.outcome)
         else:
             future.set_exception(NotLeaderError(None))
 
     def fail_all(self) -> None:
-        """End all waits; their outcome is not known."""
-        for _, future in self._places.values():
+        """Fail all pending proposals, as their outcome is unknown."""
+        for _, future in self._futures.values():
             if not future.done():
                 future.set_exception(TimeoutError())
-        self._places = {}
+        self._futures = {}
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -1,4 +1,4 @@
-"""Hold an entry's copy of the configuration tree."""
+"""Hold a copy of the configuration tree on an entry or a router."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class TreeCopy:
-    """Take newer branches as they are told; never an older tree."""
+    """Apply replies of newer branches; never go back to an older tree."""
 
     __slots__ = ("_documents", "_index", "_revisions")
 
@@ -19,21 +19,21 @@
 
     @property
     def index(self) -> int:
-        """Give the log index of the tree in force here."""
+        """The log index of the last change that was applied."""
         return self._index
 
     @property
     def documents(self) -> dict[str, Any]:
-        """Map each team to its document."""
+        """The document of each team."""
         return self._documents
 
     @property
     def revisions(self) -> dict[str, int]:
-        """Map each team to the revision in force here."""
+        """The revision of each team's branch."""
         return self._revisions
 
     def apply_reply(self, reply: FollowReply) -> bool:
-        """Take what changed; return whether it is newer."""
+        """Apply a reply's changes; return whether the tree is newer now."""
         if reply.index <= self._index:
             return False
         if reply.steps is not None:
@@ -45,12 +45,12 @@
         return True
 
     def _take_steps(self, steps: list[Step]) -> bool:
-        before = self._index
+        index_before = self._index
         for step in steps:
             if step.index <= self._index:
                 continue
             if step.after > self._index:
-                # A change between is not held; the next question gives it.
+                # A step is missing; the next reply will include it.
                 break
             changed = dict(step.documents)
             for team, patch in step.patches.items():
@@ -58,7 +58,7 @@
                 changed[team] = apply_patch(document or {}, patch)
             self._replace(changed, step.revisions)
             self._index = step.index
-        return self._index > before
+        return self._index > index_before
 
     def _replace(
         self, changed: dict[str, Any], revisions: dict[str, int]
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Race operators over lost answers against an oracle of what is accepted."""
+"""Test concurrent operators and lost answers against an oracle."""
 
 import contextlib
 import io
@@ -42,11 +42,11 @@
 
 
 class Operators(RuleBasedStateMachine):
-    """Two operators edit, apply, lose answers and race.
+    """Two operators edit and apply concurrently while answers are lost.
 
-    The oracle keeps what each exit status promises: 0 and the tree holds
-    the declarations, 1 or 3 and the operator changed nothing, 4 and the
-    same command, run again without faults, ends in 0.
+    The oracle checks what each exit status means. 0: the tree holds the
+    declarations. 1 or 3: the operator changed nothing. 4: the same command,
+    run again without faults, ends with 0.
     """
 
     def __init__(self) -> None:
@@ -54,12 +54,12 @@
         self.control = FakeControl(KEYS)
         self.folder = Path(tempfile.mkdtemp())
         self.edited: dict[tuple[str, str], int] = {}
-        self.passed_by = ""
+        self.changed_concurrently = ""
         for key in KEYS:
             (self.folder / key).mkdir()
 
     def teardown(self) -> None:
-        """Stop serving."""
+        """Stop the control server and remove the checkouts."""
         self.control.stop()
         shutil.rmtree(self.folder)
 
@@ -74,12 +74,14 @@
     def apply(
         self, key: str, plan: list[str], name: str, deadline_ms: int
     ) -> None:
-        """Apply one checkout while faults strike; hold the status to it."""
-        if not any(who == key for who, _ in self.edited):
+        """Apply one checkout with faults and check its exit status."""
+        if not any(operator_key == key for operator_key, _ in self.edited):
             return
         self.control.faults = list(plan)
-        self.passed_by = ""
-        self.control.intrude = lambda: self.pass_by(name, deadline_ms)
+        self.changed_concurrently = ""
+        self.control.intrude = lambda: self.change_concurrently(
+            name, deadline_ms
+        )
         before = self.accepted_by(key)
         status = self.run(key)
         if status in (1, 3):
@@ -92,14 +94,14 @@
             self.check_in_tree(key)
         assert self.accepted_by(key) <= before + 1
 
-    def pass_by(self, name: str, deadline_ms: int) -> None:
-        """Change a branch between the command's look and its send."""
-        self.passed_by = name
+    def change_concurrently(self, name: str, deadline_ms: int) -> None:
+        """Change a branch between the command's read and its request."""
+        self.changed_concurrently = name
         self.control.change("cy", name, branch(name, deadline_ms))
 
     @invariant()
     def each_revision_has_one_change(self) -> None:
-        """Count every accepted change once, whatever was resent."""
+        """Check that no resent change was accepted twice."""
         accepted = [
             one for one in self.control.tree.audit if one.outcome == ACCEPTED
         ]
@@ -117,25 +119,25 @@
         )
 
     def check_in_tree(self, key: str) -> None:
-        """Find every file of a checkout in the tree."""
-        for (who, name), deadline_ms in self.edited.items():
-            # A branch that the command found as declared is no part of its
-            # change, so another's change of it in between stands.
-            if who == key and name != self.passed_by:
+        """Check that the tree holds every file of a checkout."""
+        for (operator_key, name), deadline_ms in self.edited.items():
+            # The command does not send a branch that already is as declared,
+            # so another operator's change of it in between stands.
+            if operator_key == key and name != self.changed_concurrently:
                 wanted = branch(name, deadline_ms)
                 assert self.control.tree.documents[name] == wanted
 
     def run(self, key: str) -> int:
-        """Run apply as one operator, without time to resend."""
-        words = ["apply", str(self.folder / key), "--wait-s=0"]
-        words.append(f"--control={self.control.address}")
-        quiet = io.StringIO()
+        """Run apply as one operator, with no time for resends."""
+        arguments = ["apply", str(self.folder / key), "--wait-s=0"]
+        arguments.append(f"--control={self.control.address}")
+        output = io.StringIO()
         with (
             mock.patch.dict(os.environ, {"NUTMEGCHUTE_KEY": key}),
-            contextlib.redirect_stdout(quiet),
-            contextlib.redirect_stderr(quiet),
+            contextlib.redirect_stdout(output),
+            contextlib.redirect_stderr(output),
         ):
-            return main(words)
+            return main(arguments)
 
 
 def test_operators() -> None:
@@ -146,11 +148,11 @@
 
 
 def test_change_of_a_branch_not_sent() -> None:
-    """Another's change of a branch not sent stands.
+    """Guard against reverting another operator's change of a branch.
 
     Ana's file of lending is in force and she changes shelves. Between her
-    look and her send, cy changes lending. Her change names shelves alone,
-    so it is accepted and must not take cy's change back.
+    read and her request, cy changes lending. Her change sends shelves only,
+    so it is accepted and must not revert cy's change.
     """
     operators = Operators()
     try:
@@ -158,7 +160,9 @@
         assert operators.run("key-1") == 0
         operators.edit("key-1", "shelves", 1)
         operators.control.faults = [OTHER_FIRST]
-        operators.control.intrude = lambda: operators.pass_by("lending", 2)
+        operators.control.intrude = lambda: operators.change_concurrently(
+            "lending", 2
+        )
         assert operators.run("key-1") == 0
         documents = operators.control.tree.documents
         assert documents["lending"] == branch("lending", 2)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Gather claims, and refuse at once when no ledger takes them."""
+"""Test batches of claims and failure while the ledger is unavailable."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -31,11 +31,11 @@
 
 
 class FakeLinks:
-    """Be three control replicas of which one leads, or none."""
+    """Answer as three control replicas of which one leads, or none."""
 
     def __init__(self) -> None:
         self.requests: list[ClaimRequest] = []
-        self.leads = True
+        self.has_leader = True
         self.gate = asyncio.Event()
         self.gate.set()
 
@@ -48,7 +48,7 @@
     ) -> ClaimReply | None:
         """Answer as a replica would."""
         await asyncio.sleep(0)
-        if not self.leads:
+        if not self.has_leader:
             return ClaimReply(None, None)
         if address != PEERS[1]["grpc_address"]:
             return ClaimReply(LEADER, None)
@@ -57,8 +57,8 @@
         return ClaimReply(None, [ClaimAnswer(FIRST)] * len(request.claims))
 
 
-class Scene:
-    """Hold a claimer and what its claims were answered."""
+class ClaimerHarness:
+    """Hold a claimer and the answers of its claims."""
 
     def __init__(self) -> None:
         self.links = FakeLinks()
@@ -83,80 +83,83 @@
         self.claimer.claim(one, 1.0, self.answers.append)
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario on a loop; one that hangs fails."""
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario on an event loop; fail it after 10 s."""
     asyncio.run(asyncio.wait_for(scenario, 10.0))
 
 
 def test_claims_share_a_request() -> None:
-    """Send what gathered while the last request was under way at once."""
+    """Send the claims made while a request is in flight in one batch."""
 
     async def scenario() -> None:
-        scene = Scene()
-        scene.links.gate.clear()
-        scene.claim("a")
-        first = asyncio.create_task(scene.claimer.run())
+        harness = ClaimerHarness()
+        harness.links.gate.clear()
+        harness.claim("a")
+        first = asyncio.create_task(harness.claimer.run())
         for _ in range(20):
             await asyncio.sleep(0.01)
         for key in "bcdef":
-            scene.claim(key)
-        scene.links.gate.set()
+            harness.claim(key)
+        harness.links.gate.set()
         await first
-        await scene.claimer.run()
-        sizes = [len(request.claims) for request in scene.links.requests]
+        await harness.claimer.run()
+        sizes = [len(request.claims) for request in harness.links.requests]
         assert sizes == [1, 5]
-        assert scene.answers == [ClaimAnswer(FIRST)] * 6
-        assert scene.claimer.idle
+        assert harness.answers == [ClaimAnswer(FIRST)] * 6
+        assert harness.claimer.idle
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_without_a_leader_claims_fail_at_once() -> None:
-    """Refuse keyed calls while control has no quorum, then go on.
+    """Guard against keyed calls that wait while control has no quorum.
 
-    What was sent may be in a log all the same, so its release follows as
-    soon as a leader is there: else the key would stay taken.
+    A claim that was sent may be in the log, so it is released as soon
+    as there is a leader; otherwise its key would stay taken.
     """
 
     async def scenario() -> None:
-        scene = Scene()
-        scene.links.leads = False
-        scene.claim("a")
-        await scene.claimer.run()
-        assert scene.answers == [None]
-        scene.claim("b")
-        assert scene.answers == [None, None]
-        scene.links.leads = True
-        await scene.claimer.run()
-        released = scene.links.requests[-1].settlements
+        harness = ClaimerHarness()
+        harness.links.has_leader = False
+        harness.claim("a")
+        await harness.claimer.run()
+        assert harness.answers == [None]
+        harness.claim("b")
+        assert harness.answers == [None, None]
+        harness.links.has_leader = True
+        await harness.claimer.run()
+        released = harness.links.requests[-1].settlements
         assert [one.outcome for one in released] == [NOT_RUN]
-        scene.claim("c")
-        await scene.claimer.run()
-        assert scene.answers[2:] == [ClaimAnswer(FIRST)]
+        harness.claim("c")
+        await harness.claimer.run()
+        assert harness.answers[2:] == [ClaimAnswer(FIRST)]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_settlements_wait_for_a_leader() -> None:
-    """Keep an outcome until the ledger has it."""
+    """Guard against an outcome lost while there is no leader."""
 
     async def scenario() -> None:
-        scene = Scene()
-        scene.links.leads = False
+        harness = ClaimerHarness()
+        harness.links.has_leader = False
         one = build_claim("prestamos", "a", "POST", "/loans", b"")
-        scene.claimer.settle(Settlement(one, RAN, 200))
-        await scene.claimer.run()
-        assert not scene.claimer.idle
-        scene.links.leads = True
-        await scene.claimer.run()
-        assert scene.links.requests[-1].settlements[0].status == 200
-        assert scene.claimer.idle
+        harness.claimer.settle(Settlement(one, RAN, 200))
+        await harness.claimer.run()
+        assert not harness.claimer.idle
+        harness.links.has_leader = True
+        await harness.claimer.run()
+        assert harness.links.requests[-1].settlements[0].status == 200
+        assert harness.claimer.idle
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def test_keys_are_scoped_and_requests_told_apart() -> None:
-    """Give equal digests only to the same key of the same service."""
+def test_digests_and_fingerprints_are_unique() -> None:
+    """Guard against equal digests of keys of different services.
+
+    Different requests must have different fingerprints as well.
+    """
     one = build_claim("prestamos", "k", "POST", "/loans", b"atlas")
     again = build_claim("prestamos", "k", "POST", "/loans", b"atlas")
     assert (one.digest, one.fingerprint) == (again.digest, again.fingerprint)
@@ -177,14 +180,14 @@
 @pytest.mark.parametrize(
     "key", ["", "x" * (MAX_KEY_LENGTH + 1), "a\nb", "clé"]
 )
-def test_malformed_keys_are_refused(key: str) -> None:
-    """Take only keys that every library passes on unchanged."""
+def test_invalid_keys_are_rejected(key: str) -> None:
+    """Accept only keys that every library forwards unchanged."""
     with pytest.raises(InvalidKeyError):
         build_claim("prestamos", key, "POST", "/loans", b"")
 
 
-def test_the_ledger_clock_counts_one_leader() -> None:
-    """Count no time between leaders."""
+def test_ledger_clock_ignores_time_between_leaders() -> None:
+    """Guard against keys evicted early after a change of leader."""
     clock = LedgerClock()
     assert clock.elapsed_s(1, 100.0) == 0.0
     assert clock.elapsed_s(1, 107.0) == 7.0
