--- a/packages/core/nutmegchute_core/incoming_snapshots.py
+++ b/packages/core/nutmegchute_core/incoming_snapshots.py
@@ -1,4 +1,4 @@
-"""Gather a snapshot that arrives in pieces."""
+"""Assemble a snapshot that arrives in chunks."""
 
 from .messages import InstallRequest
 from .messages import Snapshot
@@ -7,7 +7,7 @@
 
 
 class IncomingSnapshot:
-    """Hold the pieces of one snapshot that have arrived in order."""
+    """Hold the chunks of one snapshot received so far, in order."""
 
     __slots__ = ("_data", "_index", "_membership", "_term", "_total")
 
@@ -20,21 +20,21 @@
 
     @property
     def received(self) -> int:
-        """Give the number of bytes that have arrived."""
+        """Number of bytes received."""
         return len(self._data)
 
     def matches(self, request: InstallRequest) -> bool:
-        """Tell whether a piece belongs to this snapshot."""
+        """Return whether a chunk belongs to this snapshot."""
         own = (self._index, self._term, self._total)
         return own == (request.index, request.snapshot_term, request.total)
 
     def add_chunk(self, request: InstallRequest) -> None:
-        """Take a piece if it is the next; a doubled one changes nothing."""
+        """Append a chunk if it is the next one; ignore duplicates."""
         if request.offset == len(self._data):
             self._data += request.piece
 
     def completed(self) -> Snapshot | None:
-        """Return the snapshot once it is whole."""
+        """Return the snapshot once all chunks are there, else None."""
         if len(self._data) < self._total:
             return None
         return Snapshot(
--- a/packages/core/nutmegchute_core/leaderships.py
+++ b/packages/core/nutmegchute_core/leaderships.py
@@ -1,4 +1,4 @@
-"""Replicate the log to the others, as long as this replica leads."""
+"""Replicate the log to the other members while this replica leads."""
 
 from .incoming_snapshots import CHUNK_BYTES
 from .logs import Log
@@ -11,18 +11,18 @@
 from .progress import Progress
 from .voters import next_voters
 
-# A replica silent for this long counts as lost; also the least time after
-# which a follower that hears no leader asks for votes.
+# A replica without contact for this long does not count as present; also
+# the shortest time after which a follower without a leader campaigns.
 ELECTION_TIMEOUT_S = 0.8
-# A learner that is closer than this to the end of the log may vote.
+# A learner at most this many entries behind may be promoted.
 CAUGHT_UP_ENTRIES = 64
-# A replica that stops says so again and again; one that has started anew in
-# the meantime is not meant any more.
+# A stopping replica repeats its announcement; it expires so that a replica
+# which has restarted meanwhile is not taken for a stopping one.
 LEAVING_TIMEOUT_S = 0.5
 
 
 class Leadership:
-    """Track the others during one term and decide what they are sent."""
+    """Track the other members during one term and build their messages."""
 
     __slots__ = (
         "_confirmed_round",
@@ -44,26 +44,26 @@
 
     @property
     def next_round(self) -> int:
-        """Give the number of the next round of messages."""
+        """Number of the next round of messages."""
         return self._round + 1
 
     @property
     def confirmed_round(self) -> int:
-        """Give the last round that a quorum answered."""
+        """Last round of messages that a quorum acknowledged."""
         return self._confirmed_round
 
     def last_contact_at(self, identity: str) -> float | None:
-        """Tell when a replica was last heard from."""
+        """Return when a replica last replied, if it is tracked."""
         progress = self._peers.get(identity)
         return progress.last_contact_at if progress is not None else None
 
     def match_index(self, identity: str) -> int | None:
-        """Tell how far a replica's log is known to agree."""
+        """Return the last index at which a replica's log matches this one."""
         progress = self._peers.get(identity)
         return progress.acked_index if progress is not None else None
 
     def track(self, now: float) -> None:
-        """Begin to track the members that are new."""
+        """Start tracking new members."""
         for member in self._log.membership.members:
             identity = member.identity
             if identity == self._identity or identity in self._peers:
@@ -71,7 +71,7 @@
             self._peers[identity] = Progress(self._log.last_index + 1, now)
 
     def has_quorum(self, now: float) -> bool:
-        """Tell whether a quorum was heard from lately."""
+        """Return whether a quorum has replied within the election timeout."""
         recent = 0
         for voter in self._log.membership.voters:
             if voter == self._identity or self._is_recent(voter, now):
@@ -79,12 +79,12 @@
         return recent >= self._log.membership.quorum
 
     def quorum_index(self) -> int:
-        """Give the last index that a quorum holds."""
+        """Return the highest index that a quorum holds."""
         matches = {one: peer.acked_index for one, peer in self._peers.items()}
         return self._quorum_value(matches, self._log.last_index)
 
     def next_voters(self, now: float) -> Membership | None:
-        """Return the membership with other voters, if one is due."""
+        """Return a membership with one voter changed, if one is due."""
         silent_s = {}
         caught_up = set()
         leaving = set()
@@ -99,13 +99,13 @@
         return next_voters(self._log.membership, silent_s, caught_up, leaving)
 
     def mark_leaving(self, identity: str, now: float) -> None:
-        """Note that a replica is about to stop."""
+        """Record that a replica is about to stop."""
         peer = self._peers.get(identity)
         if peer is not None:
             peer.leaving_until = now + LEAVING_TIMEOUT_S
 
     def transfer_target(self, commit: int, now: float) -> str | None:
-        """Return the voter that has come furthest and has all accepted."""
+        """Return the most up-to-date voter with all committed entries."""
         best: str | None = None
         best_index = commit
         for voter in self._log.membership.voters:
@@ -119,7 +119,7 @@
         return best
 
     def broadcast(self, commit: int) -> list[Message]:
-        """Begin a round: give each member's message."""
+        """Start a round and return a message for each member."""
         self._round += 1
         messages = []
         members = {one.identity for one in self._log.membership.members}
@@ -132,7 +132,7 @@
         return messages
 
     def next_message(self, peer: str, commit: int) -> Message:
-        """Give the entries, or the piece of a snapshot, that come next."""
+        """Return the next entries, or the next chunk of the snapshot."""
         progress = self._peers[peer]
         previous_term = self._log.term_at(progress.next_index - 1)
         if previous_term is None or progress.install_offset is not None:
@@ -152,7 +152,7 @@
         return request
 
     def handle_append_reply(self, reply: AppendReply, now: float) -> bool:
-        """Take a reply; tell whether the peer should be sent more."""
+        """Record a reply; return whether to send the peer more now."""
         progress = self._record_reply(reply, now)
         if progress is None:
             return False
@@ -169,7 +169,7 @@
         return progress.next_index <= self._log.last_index
 
     def handle_install_reply(self, reply: InstallReply, now: float) -> bool:
-        """Take a reply; tell whether the peer should be sent more."""
+        """Record a reply; return whether to send the peer more now."""
         progress = self._record_reply(reply, now)
         if progress is None:
             return False
@@ -183,8 +183,8 @@
             return True
         if progress.install_offset is None:
             return False
-        # A reply to a piece that was sent twice must not start a second
-        # chain of pieces; the next heartbeat repeats the piece.
+        # A duplicate reply must not start a second chain of chunks. If a
+        # chunk is lost, the next heartbeat sends it again.
         moved = reply.received > progress.install_offset
         progress.install_offset = reply.received
         return moved
--- a/packages/core/nutmegchute_core/logs.py
+++ b/packages/core/nutmegchute_core/logs.py
@@ -1,4 +1,4 @@
-"""Keep the log's entries after the last snapshot."""
+"""Hold the replicated log in memory."""
 
 import msgspec
 
@@ -14,10 +14,10 @@
 
 
 class Log:
-    """Hold entries from ``first_index`` on; older ones are compacted.
+    """Hold the last snapshot and the log entries that are not compacted.
 
-    The snapshot may reach further than the first entry: some entries are
-    kept behind it for replicas that lag a little.
+    The first entries may be older than the snapshot: some of those that it
+    covers are kept for replicas that lag a little.
     """
 
     __slots__ = (
@@ -44,36 +44,36 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """Give the last snapshot."""
+        """Last snapshot."""
         return self._snapshot
 
     @property
     def last_index(self) -> int:
-        """Give the index of the last entry."""
+        """Index of the last entry."""
         return self._base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """Give the term of the last entry."""
+        """Term of the last entry."""
         return self._entries[-1].term if self._entries else self._base_term
 
     @property
     def size_bytes(self) -> int:
-        """Give the size of the entries kept."""
+        """Encoded size of the entries in memory, in bytes."""
         return self._bytes
 
     @property
     def membership(self) -> Membership:
-        """Give the newest membership, committed or not."""
+        """Newest membership, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """Give the index of the newest membership."""
+        """Index of the newest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
-        """Give the membership in force at an index."""
+        """Return the membership in force at an index."""
         found = self._memberships[0][1]
         for entry_index, membership in self._memberships:
             if entry_index <= index:
@@ -81,7 +81,7 @@
         return found
 
     def term_at(self, index: int) -> int | None:
-        """Give an entry's term; None when it is not known here."""
+        """Return the term at an index, or None if it is not in this log."""
         if index == self._base_index:
             return self._base_term
         if index == self._snapshot.index:
@@ -91,7 +91,7 @@
         return self._entries[index - self._base_index - 1].term
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         size = len(_ENCODER.encode(entry))
         self._entries.append(entry)
         self._sizes.append(size)
@@ -100,7 +100,7 @@
             self._memberships.append((entry.index, entry.command.membership))
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from an index on."""
+        """Remove the entries from an index on."""
         kept = index - self._base_index - 1
         del self._entries[kept:]
         self._bytes -= sum(self._sizes[kept:])
@@ -110,12 +110,12 @@
         ] or self._memberships[:1]
 
     def entries_between(self, first: int, last: int) -> list[LogEntry]:
-        """List the entries from an index to another, both included."""
+        """Return the entries between two indexes, both included."""
         start = first - self._base_index - 1
         return self._entries[start : last - self._base_index]
 
     def batch(self, first: int) -> list[LogEntry]:
-        """List the entries from an index on that fit one message."""
+        """Return the entries from an index on that fit in one message."""
         start = first - self._base_index - 1
         total = 0
         batch: list[LogEntry] = []
@@ -127,7 +127,7 @@
         return batch
 
     def compact(self, snapshot: Snapshot, trailing: int) -> None:
-        """Let a snapshot stand for the entries, but for a trail."""
+        """Replace entries by a snapshot; keep ``trailing`` of them."""
         first = max(self._base_index, snapshot.index - trailing)
         term = self.term_at(first)
         assert term is not None
--- a/packages/core/nutmegchute_core/memberships.py
+++ b/packages/core/nutmegchute_core/memberships.py
@@ -1,4 +1,4 @@
-"""Name the control replicas that hold the log and those that vote."""
+"""Describe the members of a group of control replicas."""
 
 import msgspec
 import xxhash
@@ -7,11 +7,11 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Hold one replica.
+    """Identify a replica by its data folder, name and addresses.
 
-    The identity is made with the data folder. A replica whose disk was
-    lost returns under a new one: under the old one it would vote and
-    acknowledge against promises that it has forgotten.
+    The identity is created with the data folder, so a replica that lost its
+    disk returns under a new one: under the old one it could contradict votes
+    and acknowledgements that it no longer remembers.
     """
 
     identity: str
@@ -23,61 +23,61 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """List the replicas; those that do not vote are learners."""
+    """Hold the members of a group: voters and learners."""
 
     members: list[Member] = []
 
     @property
     def voters(self) -> list[str]:
-        """List the identities that vote."""
+        """Identities of the voters."""
         return [one.identity for one in self.members if one.voter]
 
     @property
     def learners(self) -> list[str]:
-        """List the identities that only learn."""
+        """Identities of the learners."""
         return [one.identity for one in self.members if not one.voter]
 
     @property
     def quorum(self) -> int:
-        """Give the size of a majority of the voters."""
+        """Size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
     def find(self, identity: str | None) -> Member | None:
-        """Return the member with the identity, if any."""
+        """Return the member with an identity, if any."""
         for member in self.members:
             if member.identity == identity:
                 return member
         return None
 
     def named(self, name: str) -> Member | None:
-        """Return the member with the name, if any."""
+        """Return the member with a name, if any."""
         for member in self.members:
             if member.name == name:
                 return member
         return None
 
     def with_learner(self, member: Member, replaces: str) -> "Membership":
-        """Add a learner in place of any member of a name.
+        """Return a membership where a learner replaces a named member.
 
-        Removing one voter and adding a learner changes one voter only.
+        The set of voters changes by one at most.
         """
         learner = msgspec.structs.replace(member, voter=False)
         return Membership([*self.without(replaces).members, learner])
 
     def without(self, name: str) -> "Membership":
-        """Leave out the member with the name."""
+        """Return a membership without the member of a name."""
         return Membership([one for one in self.members if one.name != name])
 
     def promoted(self, identity: str) -> "Membership":
-        """Let a learner vote."""
+        """Return a membership where a learner becomes a voter."""
         return self._with_vote(identity, True)
 
     def demoted(self, identity: str) -> "Membership":
-        """Let a voter only learn."""
+        """Return a membership where a voter becomes a learner."""
         return self._with_vote(identity, False)
 
     def describe_votes(self, before: "Membership") -> str:
-        """Say who votes that did not before, and who no more."""
+        """Describe the differences in voters for the audit trail."""
         changed = set(before.voters) ^ set(self.voters)
         words = []
         for member in self.members:
@@ -97,7 +97,7 @@
 
 
 class MembershipChange(msgspec.Struct, frozen=True):
-    """Say how an operator wants the replicas changed."""
+    """Request to add, replace or remove a member."""
 
     action: str
     name: str
@@ -106,7 +106,7 @@
     replaces: str | None = None
 
     def describe(self) -> str:
-        """Give the wish in words."""
+        """Describe the change for the audit trail."""
         if self.replaces is None or self.replaces == self.name:
             return f"{self.action} {self.name}"
         return f"{self.action} {self.replaces} by {self.name}"
@@ -114,9 +114,9 @@
     def apply(
         self, membership: Membership, pending: dict[str, Member]
     ) -> Membership:
-        """Return the membership wished for.
+        """Return the membership after the change.
 
-        :raises ReconfigurationError: it cannot be had
+        :raises ReconfigurationError: the change does not fit the membership
         """
         if self.action == "remove":
             if membership.named(self.name) is None:
@@ -152,7 +152,7 @@
 
 
 class Reconfigure(msgspec.Struct, frozen=True, tag=True):
-    """Put a membership in force that differs by one voter at most."""
+    """Put a membership in force that changes at most one voter."""
 
     membership: Membership
     operator: str
@@ -161,6 +161,6 @@
 
 
 def group_id(genesis: Membership) -> str:
-    """Name a group by the identities that formed it."""
+    """Return the group's id, a hash of its founders' identities."""
     text = ",".join(sorted(one.identity for one in genesis.members))
     return str(xxhash.xxh3_128_hexdigest(text.encode()))
--- a/packages/core/nutmegchute_core/messages.py
+++ b/packages/core/nutmegchute_core/messages.py
@@ -1,4 +1,4 @@
-"""Define what control replicas store and say to one another."""
+"""Define what control replicas store and send to one another."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """Hold one command at its place in the log."""
+    """Hold one command with its term and index."""
 
     term: int
     index: int
@@ -15,14 +15,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """Hold what a replica must remember through a restart."""
+    """Hold the term and the vote, which must survive a restart."""
 
     term: int = 0
     voted_for: str | None = None
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Stand for all entries up to an index."""
+    """Hold the state after all entries up to an index."""
 
     index: int = 0
     term: int = 0
@@ -31,7 +31,7 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Ask for a vote in a term, or only whether it would be given."""
+    """Request a vote in a term, or a pre-vote."""
 
     source: str
     target: str
@@ -43,7 +43,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag=True):
-    """Grant or deny a vote."""
+    """Grant or deny a vote or pre-vote."""
 
     source: str
     target: str
@@ -53,7 +53,7 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, tag=True):
-    """Send log entries, or none as a heartbeat."""
+    """Carry log entries to a member, or none as a heartbeat."""
 
     source: str
     target: str
@@ -66,7 +66,7 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
-    """Tell how far the follower's log agrees with the leader's."""
+    """Report up to which index the logs match, or where to retry."""
 
     source: str
     target: str
@@ -77,7 +77,7 @@
 
 
 class InstallRequest(msgspec.Struct, frozen=True, tag=True):
-    """Send one piece of a snapshot to a replica far behind."""
+    """Carry one chunk of a snapshot to a replica that lags far behind."""
 
     source: str
     target: str
@@ -92,7 +92,7 @@
 
 
 class InstallReply(msgspec.Struct, frozen=True, tag=True):
-    """Tell how many bytes of the snapshot have arrived."""
+    """Report how many bytes of the snapshot have been received."""
 
     source: str
     target: str
@@ -104,7 +104,7 @@
 
 
 class HandOver(msgspec.Struct, frozen=True, tag=True):
-    """Ask a follower to take the lead at once: this leader stops."""
+    """Ask a follower to start an election at once (leadership transfer)."""
 
     source: str
     target: str
@@ -112,7 +112,7 @@
 
 
 class Retire(msgspec.Struct, frozen=True, tag=True):
-    """Tell the leader that this replica stops and need not vote."""
+    """Tell the leader that this voter is about to stop."""
 
     source: str
     target: str
@@ -132,14 +132,14 @@
 
 
 class Delivery(msgspec.Struct, frozen=True):
-    """Carry messages of one group from one replica to another."""
+    """Carry messages between two replicas of a group."""
 
     group: str
     messages: list[Message]
 
 
 def vote_reply(request: VoteRequest, term: int, granted: bool) -> VoteReply:
-    """Answer a question for a vote."""
+    """Build the reply to a vote request."""
     return VoteReply(
         source=request.target,
         target=request.source,
@@ -152,7 +152,7 @@
 def append_reply(
     request: AppendRequest, term: int, agreed: bool, match_index: int
 ) -> AppendReply:
-    """Answer what log entries were sent."""
+    """Build the reply to an append request."""
     return AppendReply(
         source=request.target,
         target=request.source,
@@ -166,7 +166,7 @@
 def install_reply(
     request: InstallRequest, term: int, received: int, done: bool
 ) -> InstallReply:
-    """Answer a piece of a snapshot."""
+    """Build the reply to a chunk of a snapshot."""
     return InstallReply(
         source=request.target,
         target=request.source,
--- a/packages/core/nutmegchute_core/nodes.py
+++ b/packages/core/nutmegchute_core/nodes.py
@@ -1,4 +1,4 @@
-"""Tie a replica, its disk and the state machine together."""
+"""Connect a replica to its storage and the replicated state machine."""
 
 from typing import Protocol
 
@@ -17,8 +17,8 @@
 
 SNAPSHOT_ENTRIES = 1000
 SNAPSHOT_BYTES = 8 * 1024 * 1024
-# Entries kept behind a snapshot, so that a replica which lags a little is
-# sent entries and not the whole state.
+# Entries kept before a snapshot, so that a replica which lags a little is
+# sent entries instead of the whole state.
 TRAILING_ENTRIES = 500
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -26,7 +26,7 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """Hold what a disk gave back after a start."""
+    """Hold the state loaded from disk at start."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -34,29 +34,29 @@
 
 
 class Store(Protocol):
-    """Make things durable; all is synced when a method returns."""
+    """Make state durable; it is synced when a method returns."""
 
     def save(
         self, hard_state: HardState | None, entries: list[LogEntry]
     ) -> None:
-        """Keep the hard state and the entries."""
+        """Store the hard state and append the entries."""
 
     def install(self, snapshot: Snapshot) -> None:
-        """Keep a leader's snapshot in place of the whole log."""
+        """Replace the whole log by a snapshot from the leader."""
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Keep an own snapshot; the log before it may go."""
+        """Store a local snapshot; the log before it may be removed."""
 
 
 class AppliedEntry(msgspec.Struct, frozen=True):
-    """Tell what became of a committed entry."""
+    """Hold a committed entry and the outcome of applying it."""
 
     entry: LogEntry
     outcome: Outcome
 
 
 class FlushResult(msgspec.Struct, frozen=True):
-    """Hold what the driver sends and reports after a flush."""
+    """Hold the messages to send and the entries applied by a flush."""
 
     messages: list[Message]
     decided: list[AppliedEntry]
@@ -64,7 +64,7 @@
 
 
 class Node:
-    """Run one replica: durable first, then messages, then the machine."""
+    """Run one replica: make its state durable, then apply and send."""
 
     __slots__ = ("_machine", "_replica", "_store")
 
@@ -84,12 +84,12 @@
 
     @property
     def replica(self) -> Replica:
-        """Give the replica."""
+        """Replica that this node runs."""
         return self._replica
 
     @property
     def machine(self) -> StateMachine:
-        """Give the replicated state as applied here."""
+        """State machine with all entries applied so far."""
         return self._machine
 
     def propose(self, command: Command) -> tuple[int, int]:
@@ -97,14 +97,14 @@
         return self._replica.propose(command), self._replica.term
 
     def flush(self) -> FlushResult:
-        """Make durable, apply, and return what is to be sent.
+        """Store and apply all pending effects; return what is to be sent.
 
-        An error of the store passes through: this node must not be used
-        any further, since it holds promises that the disk does not.
+        Errors of the store propagate. The node must not be used after one,
+        since it holds votes and entries that the disk does not.
         """
         effects = self._replica.take_effects()
-        # Durable first: a vote or an acknowledgement that leaves before
-        # the sync could be forgotten by a crash and given twice.
+        # Sync before sending: otherwise a crash could lose a vote or an
+        # acknowledgement already sent, and the replica could contradict it.
         if effects.hard_state is not None or effects.entries:
             self._store.save(effects.hard_state, effects.entries)
         if effects.snapshot is not None:
--- a/packages/core/nutmegchute_core/progress.py
+++ b/packages/core/nutmegchute_core/progress.py
@@ -1,8 +1,8 @@
-"""Track, on the leader, how far each other replica has come."""
+"""Track, on the leader, the replication progress of each member."""
 
 
 class Progress:
-    """Hold what the leader knows of one replica."""
+    """Hold the replication state of one other member."""
 
     __slots__ = (
         "last_contact_at",
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -1,4 +1,4 @@
-"""Agree on one log among the control replicas."""
+"""Replicate one log among the control replicas with Raft."""
 
 from random import Random
 
@@ -32,17 +32,16 @@
 from .voters import MIN_VOTERS
 
 ELECTION_JITTER_S = 0.5
-# A replica that has heard no leader since its start asks for votes sooner:
-# after a loss of power nobody leads, and every replica waiting as if for a
-# lost leader would keep all entries without a configuration for a second.
-# Where one leads, the others refuse the question. The spread is some times
-# what a vote takes to come back (7 ms on a new connection, a sync besides),
-# so that two seldom ask at once.
+# A replica that has had no leader since its start campaigns sooner: after a
+# power loss nobody leads, and the full election timeout would keep all
+# entries without a configuration for a second. Where a leader exists, the
+# other replicas deny the pre-vote. The jitter is several times the round
+# trip of a vote (7 ms on a new connection, plus a sync), so that two
+# replicas seldom campaign at once.
 INITIAL_ELECTION_TIMEOUT_S = 0.02
 INITIAL_ELECTION_JITTER_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.2
-# A follower that has missed the leader's word so often is cut off from it,
-# or the leader is gone.
+# After five missed heartbeats the leader is gone or the follower cut off.
 LEADER_CONTACT_S = 5 * HEARTBEAT_INTERVAL_S
 
 FOLLOWER = "follower"
@@ -54,7 +53,11 @@
 
 
 class Replica:
-    """Take messages, proposals and time; give effects."""
+    """Run the Raft protocol for one replica, without any I/O.
+
+    Messages, proposals and the time go in; ``take_effects`` returns what
+    is to be stored, sent and applied.
+    """
 
     __slots__ = (
         "_applied_index",
@@ -113,52 +116,55 @@
 
     @property
     def identity(self) -> str:
-        """Give the replica's identity."""
+        """Identity of this replica."""
         return self._identity
 
     @property
     def state(self) -> str:
-        """Name the present state of the replica chart."""
+        """Current state in the replica chart."""
         return self._state
 
     @property
     def leader(self) -> str | None:
-        """Give the identity of the leader last heard of in this term."""
+        """Identity of this term's leader, if known."""
         return self._leader
 
     @property
     def term(self) -> int:
-        """Give the current term."""
+        """Current term."""
         return self._hard_state.term
 
     @property
     def commit_index(self) -> int:
-        """Give the last index known to be committed."""
+        """Highest log index known to be committed."""
         return self._commit_index
 
     @property
     def last_index(self) -> int:
-        """Give the index of the last log entry."""
+        """Index of the last log entry."""
         return self._log.last_index
 
     @property
     def log(self) -> Log:
-        """Give the log."""
+        """Log of this replica."""
         return self._log
 
     @property
     def membership(self) -> Membership:
-        """Give the newest membership in the log."""
+        """Newest membership in the log, committed or not."""
         return self._log.membership
 
     @property
     def votes(self) -> set[str]:
-        """Give the identities that voted for it when it stood last."""
+        """Identities that granted a vote in the latest campaign."""
         return set(self._votes)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this leader knows all that was committed before."""
+        """Whether this leader has committed an entry of its own term.
+
+        Only then does it know every entry committed in earlier terms.
+        """
         return (
             self._state == LEADER
             and self._commit_index >= self._term_start_index
@@ -166,36 +172,36 @@
 
     @property
     def confirmed_round(self) -> int:
-        """Give the last round that a quorum answered."""
+        """Last round of messages that a quorum acknowledged."""
         return self._leadership.confirmed_round if self._leadership else 0
 
     @property
     def wake_at(self) -> float:
-        """Give the time at which tick has something to do."""
+        """Time of the next heartbeat or election timeout."""
         if self._state == LEADER:
             return self._heartbeat_at
         return self._election_at
 
     def should_request_join(self, now: float) -> bool:
-        """Tell whether this replica may have to ask to be taken in.
+        """Return whether this replica should request to join the group.
 
-        One that was left out while it was away still reads in its own log
-        that it belongs to the group; that no leader sends to it tells.
+        The log of a replica that was removed while it was down still lists
+        it as a member, so missing contact with a leader counts as well.
         """
         if self.membership.find(self._identity) is None:
             return True
         return not self.in_contact(now)
 
     def last_contact_at(self, identity: str) -> float | None:
-        """Tell when this leader last heard from a replica."""
+        """Return when this leader last received a reply from a replica."""
         if self._leadership is None:
             return None
         return self._leadership.last_contact_at(identity)
 
     def in_contact(self, now: float) -> bool:
-        """Tell whether a majority is in reach, as far as can be told.
+        """Return whether a quorum, or the leader, was in contact lately.
 
-        Without it this replica may know an old state only.
+        Without contact this replica's state may be stale.
         """
         if self._leadership is not None:
             return self._leadership.has_quorum(now)
@@ -204,7 +210,7 @@
         )
 
     def match_index(self, identity: str) -> int | None:
-        """Tell how far a replica's log is known to agree with this one."""
+        """Return the last index at which a replica's log matches this one."""
         if identity == self._identity:
             return self.last_index
         if self._leadership is None:
@@ -214,7 +220,7 @@
     def propose(self, command: Command) -> int:
         """Append a command and return its index.
 
-        :raises NotLeaderError: another replica, or none, leads
+        :raises NotLeaderError: this replica is not the leader
         """
         if self._state != LEADER:
             raise NotLeaderError(self._leader)
@@ -224,13 +230,13 @@
     def reconfigure(self, change: Reconfigure, now: float) -> int:
         """Propose a membership and return its index.
 
-        :raises NotLeaderError: another replica, or none, leads
+        :raises NotLeaderError: this replica is not the leader
         :raises ReconfigurationError: an earlier change is not committed
         """
         if self._state != LEADER:
             raise NotLeaderError(self._leader)
-        # Two changes under way at once, or one before this term's first
-        # commit, can leave two majorities that share no replica.
+        # Two uncommitted changes, or one before this term's first commit,
+        # can lead to two majorities that share no replica.
         if (
             self._log.membership_index > self._commit_index
             or not self.is_ready
@@ -247,22 +253,22 @@
         return index
 
     def begin_read(self) -> int:
-        """Return the round whose confirmation makes a read current.
+        """Return the round whose confirmation makes a read linearizable.
 
-        A leader that was deposed without hearing of it would answer with
-        an older tree; a quorum's answers to a later round rule that out.
+        A leader that was deposed without noticing would answer with a
+        stale tree; a quorum's replies to a later round rule that out.
 
-        :raises NotLeaderError: another replica, or none, leads
+        :raises NotLeaderError: this replica is not the leader
         """
         if self._leadership is None:
             raise NotLeaderError(self._leader)
         return self._leadership.next_round
 
     def transfer_leadership(self, now: float) -> None:
-        """Let the follower that has come furthest lead; this one stops.
+        """Ask the most up-to-date follower to start an election at once.
 
-        Otherwise each planned restart of a leader would cost as long as a
-        crash: an election's silence.
+        Otherwise each planned restart of a leader would leave the group
+        without one for an election timeout, as a crash does.
         """
         if self._leadership is None:
             return
@@ -272,7 +278,7 @@
 
     @property
     def is_dispensable(self) -> bool:
-        """Tell whether the group may do without this replica's vote."""
+        """Whether the group can do without this replica's vote."""
         membership = self.membership
         if self._identity not in membership.voters:
             return False
@@ -281,11 +287,12 @@
         return len(membership.voters) > MIN_VOTERS
 
     def retire(self, now: float) -> None:
-        """Ask the leader to let another vote; this replica stops.
+        """Ask the leader to replace this voter, which is about to stop.
 
-        Else a lost disk of another one, while this one is down, would
-        leave no majority; if it never comes back, for ever. A leader hands
-        over first, again if the order got lost.
+        Otherwise, if another replica lost its disk while this one is down,
+        no majority would be left; if this one never returned, for ever. A
+        leader transfers its leadership instead; callers repeat the call,
+        in case the message is lost.
         """
         if self._leadership is not None:
             self.transfer_leadership(now)
@@ -295,7 +302,7 @@
         self._messages.append(Retire(self._identity, self._leader, self.term))
 
     def compact(self, state: bytes, trailing: int) -> Snapshot:
-        """Let the state after the last applied entry stand for the log."""
+        """Replace the log up to the last applied entry by a snapshot."""
         term = self._log.term_at(self._applied_index)
         assert term is not None
         snapshot = Snapshot(
@@ -308,7 +315,7 @@
         return snapshot
 
     def tick(self, now: float) -> None:
-        """Act on time: heartbeats, elections, a lost quorum."""
+        """Send heartbeats, start elections or step down as time passes."""
         if self._leadership is not None:
             self._tick_leader(self._leadership, now)
             return
@@ -320,9 +327,9 @@
         self._start_pre_vote(now)
 
     def receive(self, message: Message, now: float) -> None:
-        """Take one message from another replica."""
+        """Handle one message from another replica."""
         if message.target != self._identity:
-            # It was meant for the identity whose disk was lost.
+            # It is addressed to an earlier identity, whose disk was lost.
             return
         if isinstance(message, VoteRequest):
             self._on_vote_request(message, now)
@@ -346,10 +353,9 @@
             self._on_install_reply(message, now)
 
     def take_effects(self) -> Effects:
-        """Take the effects gathered since the last call."""
+        """Return and clear the effects collected since the last call."""
         if self._leadership is not None and self._append_due:
-            # Proposals gathered since the last call share one message and
-            # one sync.
+            # Proposals since the last call share one message and one sync.
             self._broadcast(self._leadership)
             self._advance_commit(self._leadership)
         entries: list[LogEntry] = []
@@ -375,9 +381,8 @@
 
     def _tick_leader(self, leadership: Leadership, now: float) -> None:
         if not leadership.has_quorum(now):
-            # Cut off silently, this replica would go on taking proposals
-            # that cannot commit while the others elect: without a
-            # quorum's recent replies it steps down and refuses.
+            # A leader cut off from its quorum would go on accepting
+            # proposals that cannot commit, while the others elect.
             self._step_down("quorum_lost", now)
             return
         if now >= self._heartbeat_at:
@@ -402,8 +407,8 @@
         self.reconfigure(change, now)
 
     def _start_pre_vote(self, now: float) -> None:
-        # Asking first, without a new term, keeps a replica that was cut
-        # off or frozen from deposing a leader that all others hear.
+        # A pre-vote, which does not raise the term, keeps a replica that
+        # was cut off or frozen from deposing a leader that works.
         self._step("timeout")
         self._leader = None
         self._votes = {self._identity}
@@ -474,8 +479,8 @@
         if not request.handed_over and (
             self._state == LEADER or leader_is_alive
         ):
-            # A leader that a quorum hears must not lose its term to a
-            # replica that does not hear it.
+            # A leader in contact with a quorum must not be deposed by a
+            # replica that lost contact with it.
             self._messages.append(vote_reply(request, self.term, False))
             return
         if not request.pre and request.term > self.term:
@@ -517,10 +522,13 @@
         self._messages.append(append_reply(request, self.term, agreed, match))
 
     def _accept_entries(self, request: AppendRequest) -> tuple[bool, int]:
-        """Return whether the logs agree, and up to where they do or may."""
+        """Return whether the logs match, and the index up to which.
+
+        On a mismatch the index is a hint from which the leader retries.
+        """
         previous = request.previous_index
         if previous < self._log.snapshot.index:
-            # All up to the snapshot is committed, so the leader has it.
+            # The snapshot is committed, so the leader has its entries.
             return False, self._log.snapshot.index
         if self._log.term_at(previous) != request.previous_term:
             conflict_hint = min(self.last_index, previous - 1)
@@ -541,7 +549,7 @@
         self._advance_commit(leadership)
         self._send_more(reply.source, more)
         if before < self._log.membership_index <= self._commit_index:
-            # One voter more or less is often half of an exchange.
+            # Replacing a voter takes two changes; make the second at once.
             self._adjust_voters(leadership, now)
 
     def _on_install_request(self, request: InstallRequest, now: float) -> None:
@@ -554,7 +562,7 @@
         )
 
     def _add_chunk(self, request: InstallRequest) -> tuple[int, bool]:
-        """Return how many bytes are there, and whether these are all."""
+        """Return the number of bytes received, and whether that is all."""
         if request.index <= self._commit_index:
             self._incoming_snapshot = None
             return request.total, True
@@ -607,15 +615,15 @@
     def _advance_commit(self, leadership: Leadership) -> None:
         index = leadership.quorum_index()
         # An entry of an earlier term may still be overwritten although a
-        # majority holds it; only one of the own term commits by count.
+        # majority holds it; only entries of this term commit by counting.
         if (
             index <= self._commit_index
             or self._log.term_at(index) != self.term
         ):
             return
         self._commit_index = index
-        left = self._identity not in self.membership.voters
-        if left and self._log.membership_index <= index:
+        removed = self._identity not in self.membership.voters
+        if removed and self._log.membership_index <= index:
             self._broadcast(leadership)
             self._step("removed")
             self._leader = None
--- a/packages/core/nutmegchute_core/voters.py
+++ b/packages/core/nutmegchute_core/voters.py
@@ -1,19 +1,18 @@
-"""Decide, on the leader, which replicas of the group vote.
+"""Decide, on the leader, which replicas of the group are voters.
 
-A voter that is gone for good takes away a loss that the group could bear:
-of four voters with one gone, the next lost disk leaves no majority for
-ever. So newcomers learn first, and take the vote of one that stops or falls
-silent; that one learns from then on, if it comes back.
+A voter that never returns lowers the number of failures that the group
+tolerates: with one of four voters gone, the next lost disk leaves no majority
+for ever. So new replicas join as learners and replace voters that stop or no
+longer reply; a replaced voter becomes a learner, if it comes back.
 """
 
 from .memberships import Member
 from .memberships import Membership
 
-# Five heartbeats without a reply. A mistaken exchange costs two log entries:
-# who was only slow goes on learning, and is the next to vote.
+# Five heartbeats without a reply. Replacing a voter by mistake costs two log
+# entries; one that was only slow stays a learner and can be promoted again.
 VOTER_TIMEOUT_S = 1.0
-# A group is not made smaller than this: it bears the loss of one voter, and
-# two voters bear none.
+# Three voters tolerate the loss of one, two tolerate none.
 MIN_VOTERS = 3
 
 
@@ -23,20 +22,20 @@
     caught_up: set[str],
     leaving: set[str],
 ) -> Membership | None:
-    """Return the membership with one voter more or less, if it is due.
+    """Return the membership with one voter added or removed, if due.
 
-    ``silent_s`` tells how long each other replica has been silent,
-    ``caught_up`` which learners hold nearly all of the log, and ``leaving``
-    which replicas stop. One voter at a time, so that any two majorities in
-    a row share a replica.
+    ``silent_s`` maps the other replicas to the time since their last reply,
+    ``caught_up`` names the learners with nearly all of the log, and
+    ``leaving`` the replicas that are about to stop. One voter changes at a
+    time, so that consecutive majorities share a replica.
     """
     voters = membership.voters
     even = len(voters) % 2 == 0
     promotable = _promotable_learners(membership, caught_up, leaving)
     silent = _longest_silent(voters, silent_s)
     if silent is not None and (promotable or _is_dispensable(voters)):
-        # Before the newcomer votes: were it lost at this moment, the others
-        # would be enough by themselves.
+        # Demote first: if the new voter were lost right after its promotion,
+        # the remaining ones must still be a majority.
         return membership.demoted(silent)
     for voter in voters:
         if voter not in leaving:
@@ -44,7 +43,8 @@
         if _is_dispensable(voters):
             return membership.demoted(voter)
         if promotable:
-            # It still acknowledges, so the group bears a loss all the while.
+            # The leaving voter still replies: promote first, so that the
+            # group tolerates a loss all the time.
             return membership.promoted(promotable[0].identity)
     if promotable and (even or len(promotable) > 1):
         return membership.promoted(promotable[0].identity)
@@ -52,7 +52,7 @@
 
 
 def _is_dispensable(voters: list[str]) -> bool:
-    """Tell whether a group bears as many losses with a voter less."""
+    """Return whether a voter may be removed without a replacement."""
     return len(voters) > MIN_VOTERS
 
 
