--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -39,7 +39,7 @@
     """
 
     __slots__ = (
-        "_confirm",
+        "_awaited_generation",
         "_group",
         "_group_at",
         "_own",
@@ -53,7 +53,7 @@
     def __init__(self, own: str, epoch: int, now: float) -> None:
         self._own = own
         self._started_at = now
-        self._confirm = 0
+        self._awaited_generation = 0
         self._group = EntryGroup()
         self._group_at = now - GROUP_REFRESH_S
         self._rotation = 0
@@ -149,7 +149,7 @@
             replica=self._own,
             watermark=NO_WATERMARK if peer is None else peer.mirror.watermark,
             sessions=0 if peer is None else peer.sessions,
-            confirm=0 if peer is None else peer.confirm,
+            awaited_generation=0 if peer is None else peer.awaited_generation,
             reachable=self.peers.reachable_replicas(now),
             applied=min(applied, default=MAX_TREE_INDEX),
             hold_s=hold_s,
@@ -159,7 +159,7 @@
         """Return whether the reply to a peer would have changes."""
         if (
             request.watermark != self.watermark
-            or request.confirm < self._confirm
+            or request.awaited_generation < self._awaited_generation
         ):
             return True
         return request.sessions != self.sessions.generation
@@ -178,7 +178,7 @@
             sessions=self.sessions.generation,
             entries=self.sessions.since(known),
             calls_per_s=self.sessions.calls_per_s(now),
-            confirm=self._confirm,
+            awaited_generation=self._awaited_generation,
         )
 
     def apply_reply(self, address: str, reply: PeerReply, now: float) -> bool:
@@ -190,7 +190,7 @@
 
     def request_confirmation(self, generation: int) -> None:
         """Request that the peers confirm a generation of the registry."""
-        self._confirm = max(self._confirm, generation)
+        self._awaited_generation = max(self._awaited_generation, generation)
 
     def unconfirmed(self, generation: int, now: float) -> list[str]:
         """List the entries and peers that have not confirmed a generation."""
@@ -203,14 +203,21 @@
         found = {}
         for address in self.peers.addresses:
             peer = self.peers.find(address)
-            if peer is None or peer.confirm <= peer.confirmed:
+            if (
+                peer is None
+                or peer.awaited_generation <= peer.confirmed_generation
+            ):
                 continue
             epoch, generation = peer.mirror.watermark
-            if generation < peer.confirm:
+            if generation < peer.awaited_generation:
                 continue
-            if self.sessions.unconfirmed(address, (epoch, peer.confirm), now):
+            if self.sessions.unconfirmed(
+                address, (epoch, peer.awaited_generation), now
+            ):
                 continue
-            found[address] = Confirmation(self._own, epoch, peer.confirm)
+            found[address] = Confirmation(
+                self._own, epoch, peer.awaited_generation
+            )
         return found
 
     def record_acknowledged(
@@ -219,7 +226,9 @@
         """Record that a peer acknowledged a confirmation."""
         peer = self.peers.find(address)
         if peer is not None and peer.mirror.watermark[0] == confirmation.epoch:
-            peer.confirmed = max(peer.confirmed, confirmation.generation)
+            peer.confirmed_generation = max(
+                peer.confirmed_generation, confirmation.generation
+            )
 
     def has_lagging_entry(self, index: int, now: float) -> bool:
         """Return whether a connected entry has a tree older than an index."""
--- a/packages/core/nutmegchute_core/mirrors.py
+++ b/packages/core/nutmegchute_core/mirrors.py
@@ -66,7 +66,7 @@
         return True
 
     def is_ahead_of(self, watermark: Watermark) -> bool:
-        """Return whether an entry with a watermark lacks changes.
+        """Return whether the mirror has changes beyond a watermark.
 
         An entry that switched replicas may be ahead of this mirror.
         """
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -32,17 +32,18 @@
 class PeerRequest(msgspec.Struct, frozen=True, array_like=True):
     """Request the changes of another replica's registry and sessions.
 
-    ``watermark``, ``sessions`` and ``confirm`` are what the sender holds of
-    the receiver: the position in its registry, the generation of its entry
-    sessions and the generation that it wants confirmed. ``reachable`` lists
-    the replicas from which the sender receives messages, ``applied`` is the
-    index of the oldest tree in force at the sender's entries.
+    ``watermark``, ``sessions`` and ``awaited_generation`` are what the sender
+    holds of the receiver: the watermark of its registry, the generation of
+    its entry sessions and the registry generation for which it awaits a
+    ``Confirmation``. ``reachable`` lists the replicas from which the sender
+    receives messages, ``applied`` is the index of the oldest tree in force
+    at the sender's entries.
     """
 
     replica: str
     watermark: Watermark
     sessions: int
-    confirm: int
+    awaited_generation: int
     reachable: list[str]
     applied: int
     hold_s: float
@@ -51,8 +52,9 @@
 class PeerReply(msgspec.Struct, frozen=True, array_like=True):
     """Carry the changes of this replica's registry and sessions.
 
-    The receiver sends a ``Confirmation`` once its entries hold generation
-    ``confirm`` of the registry: a drain waits for it to be acknowledged.
+    The receiver sends a ``Confirmation`` once its entries hold
+    ``awaited_generation`` of the registry; only then can the sender
+    acknowledge a drain.
     """
 
     epoch: int
@@ -60,7 +62,7 @@
     sessions: int
     entries: list[EntryState]
     calls_per_s: float
-    confirm: int
+    awaited_generation: int
 
 
 class Confirmation(msgspec.Struct, frozen=True, array_like=True):
@@ -92,16 +94,16 @@
     """Hold the state of one other replica."""
 
     __slots__ = (
-        "answered_at",
+        "last_answer_at",
         "applied",
         "calls_per_s",
-        "confirm",
-        "confirmed",
+        "awaited_generation",
+        "confirmed_generation",
         "entries",
-        "heard_at",
+        "last_message_at",
         "reachable",
         "mirror",
-        "seen_generation",
+        "received_generation",
         "sessions",
     )
 
@@ -111,17 +113,17 @@
         self.sessions = 0
         # Time of the last message, request or reply: a link may fail in one
         # direction only.
-        self.heard_at = now
-        self.answered_at: float | None = None
+        self.last_message_at = now
+        self.last_answer_at: float | None = None
         self.reachable: frozenset[str] = frozenset()
         self.applied: int | None = None
         self.calls_per_s = 0.0
-        # Generation of its registry that it wants confirmed, and the newest
-        # one for which it acknowledged a confirmation.
-        self.confirm = 0
-        self.confirmed = 0
+        # Generation of its registry for which it awaits a confirmation, and
+        # the newest one for which it acknowledged one.
+        self.awaited_generation = 0
+        self.confirmed_generation = 0
         # Generation of this replica's registry that its entries hold.
-        self.seen_generation = 0
+        self.received_generation = 0
 
 
 class Peers:
@@ -165,8 +167,8 @@
         self._checked_at = now
         if paused:
             for peer in self._peers.values():
-                peer.heard_at = now
-                peer.answered_at = None
+                peer.last_message_at = now
+                peer.last_answer_at = None
         return paused
 
     def record_request(self, request: PeerRequest, now: float) -> None:
@@ -175,7 +177,7 @@
         if peer is None:
             # A new member whose membership change has not arrived here yet.
             peer = self._peers[request.replica] = Peer(now)
-        peer.heard_at = now
+        peer.last_message_at = now
         peer.reachable = frozenset(request.reachable)
         peer.applied = request.applied
 
@@ -186,9 +188,9 @@
         peer = self._peers.get(confirmation.replica)
         if peer is None or confirmation.epoch != epoch:
             return
-        peer.heard_at = now
-        peer.seen_generation = max(
-            peer.seen_generation, confirmation.generation
+        peer.last_message_at = now
+        peer.received_generation = max(
+            peer.received_generation, confirmation.generation
         )
 
     def apply_reply(self, address: str, reply: PeerReply, now: float) -> bool:
@@ -196,14 +198,14 @@
         peer = self._peers.get(address)
         if peer is None:
             return False
-        peer.heard_at = now
-        peer.answered_at = now
+        peer.last_message_at = now
+        peer.last_answer_at = now
         peer.calls_per_s = reply.calls_per_s
         if reply.epoch != peer.mirror.watermark[0]:
-            peer.confirmed = 0
+            peer.confirmed_generation = 0
             for known in peer.entries.values():
                 known.state = EntryState(known.state.info, False)
-        peer.confirm = reply.confirm
+        peer.awaited_generation = reply.awaited_generation
         peer.sessions = reply.sessions
         for state in reply.entries:
             peer.entries[state.info.name] = PeerEntry(state, now)
@@ -217,7 +219,7 @@
             for name, known in list(peer.entries.items()):
                 if (
                     known.state.is_connected
-                    and now - peer.heard_at <= ENTRY_TTL_S
+                    and now - peer.last_message_at <= ENTRY_TTL_S
                 ):
                     continue
                 if now - known.at > ENTRY_TTL_S:
@@ -227,7 +229,7 @@
         """List the replicas that have not confirmed a generation."""
         found = []
         for address, peer in self._peers.items():
-            if peer.seen_generation < generation and not self._is_gone(
+            if peer.received_generation < generation and not self._is_gone(
                 address, now
             ):
                 found.append(address)
@@ -237,7 +239,7 @@
         """List the replicas whose messages arrive, be it one way."""
         found = []
         for address, peer in self._peers.items():
-            if now - peer.heard_at <= REACHABLE_S:
+            if now - peer.last_message_at <= REACHABLE_S:
                 found.append(address)
         return found
 
@@ -262,14 +264,14 @@
             if self._is_gone(address, now):
                 continue
             asked += 1
-            answered += peer.answered_at is not None
+            answered += peer.last_answer_at is not None
         return answered, asked
 
     def mirrors(self, now: float) -> dict[str, Mirror]:
         """Map the replicas heard within MIRROR_TTL_S to their mirrors."""
         found = {}
         for address, peer in self._peers.items():
-            if now - peer.heard_at <= MIRROR_TTL_S:
+            if now - peer.last_message_at <= MIRROR_TTL_S:
                 found[address] = peer.mirror
         return found
 
@@ -325,10 +327,10 @@
         A replica that is unreachable from this one alone may have entries.
         It is not gone as long as another reachable replica hears it.
         """
-        if now - self._peers[address].heard_at <= GONE_AFTER_S:
+        if now - self._peers[address].last_message_at <= GONE_AFTER_S:
             return False
         for other, peer in self._peers.items():
-            if other == address or now - peer.heard_at > REACHABLE_S:
+            if other == address or now - peer.last_message_at > REACHABLE_S:
                 continue
             if address in peer.reachable:
                 return False
@@ -337,5 +339,6 @@
 
 def _is_responsive(peer: Peer, now: float) -> bool:
     return (
-        peer.answered_at is not None and now - peer.answered_at <= REACHABLE_S
+        peer.last_answer_at is not None
+        and now - peer.last_answer_at <= REACHABLE_S
     )
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -20,8 +20,8 @@
 MAX_INSTANCES = 4096
 
 # How long endpoints restored at the start of this replica are kept. Each live
-# one announces itself within that time, and callers don't use an entry yet
-# that has just started, so that an endpoint which left gets few calls.
+# one announces itself within that time, and an entry that has just started is
+# not relied on yet, so that an endpoint which left meanwhile gets few calls.
 RESTORED_TTL_S = 2.0
 
 # An endpoint whose announced cold time ends so much later than before has
--- a/packages/core/nutmegchute_core/replica_choosers.py
+++ b/packages/core/nutmegchute_core/replica_choosers.py
@@ -46,7 +46,7 @@
 
     @property
     def active(self) -> str | None:
-        """Return the replica that replied last, in contact with the others."""
+        """Return the replica that last replied while in contact, if any."""
         return self._active
 
     @property
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -23,8 +23,9 @@
 FLOOR_S = 60.0
 # A longer gap between two calls means that this process was suspended.
 PAUSE_S = 1.0
-# How long announcements are refused after a suspension.
-QUIET_S = 0.5
+# How long announcements are refused after a suspension, and after how long a
+# refused endpoint retries.
+ANNOUNCE_RETRY_S = 0.5
 
 MAX_ENDPOINTS = 4096
 MAX_PEERS = 64
@@ -63,7 +64,7 @@
         "_sequence",
         "_own",
         "_peers",
-        "_quiet_until",
+        "_paused_until",
         "_checked_at",
     )
 
@@ -73,7 +74,7 @@
         self._peers: dict[str, PeerSet] = {}
         self._floors: OrderedDict[Key, Floor] = OrderedDict()
         self._drains = 0
-        self._quiet_until = 0.0
+        self._paused_until = 0.0
         self._checked_at: float | None = None
 
     @property
@@ -93,7 +94,7 @@
         or PAUSED (announce again in QUIET_S).
         """
         self._detect_pause(now)
-        if now < self._quiet_until:
+        if now < self._paused_until:
             return PAUSED
         key = announcement.key
         floor = self._floors.get(key)
@@ -271,7 +272,7 @@
         # that sent them may have drained at another entry since; live ones
         # announce again.
         if self._checked_at is not None and now - self._checked_at > PAUSE_S:
-            self._quiet_until = now + QUIET_S
+            self._paused_until = now + ANNOUNCE_RETRY_S
         self._checked_at = now
 
 
--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -9,10 +9,10 @@
 import msgspec
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import LEASE_S
+from nutmegchute_core.rosters import ANNOUNCE_RETRY_S
 from nutmegchute_core.rosters import CHANGED
 from nutmegchute_core.rosters import FULL
 from nutmegchute_core.rosters import PAUSED
-from nutmegchute_core.rosters import QUIET_S
 from nutmegchute_core.rosters import Roster
 from nutmegchute_core.rosters import STALE
 from nutmegchute_core.rules import Service
@@ -104,9 +104,11 @@
                 incarnation=floor,
             )
         if outcome == FULL:
-            raise AnnouncementError(503, "too many endpoints", QUIET_S)
+            raise AnnouncementError(
+                503, "too many endpoints", ANNOUNCE_RETRY_S
+            )
         if outcome == PAUSED:
-            raise AnnouncementError(503, "entry was paused", QUIET_S)
+            raise AnnouncementError(503, "entry was paused", ANNOUNCE_RETRY_S)
         if outcome == CHANGED:
             log(
                 Event.UPSTREAM_ANNOUNCED,
@@ -119,7 +121,7 @@
     def _check_key(self, announcement: Announcement, key: str) -> None:
         if self._services is None:
             raise AnnouncementError(
-                503, "no configuration in force yet", QUIET_S
+                503, "no configuration in force yet", ANNOUNCE_RETRY_S
             )
         service = self._services.get(announcement.service)
         if service is None:
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -311,9 +311,9 @@
     def take(self, address: str, reply: PeerReply) -> None:
         """Take another replica's answer."""
         discovery = self._discovery
-        wanted = reply.confirm
+        wanted = reply.awaited_generation
         peer = discovery.peers.find(address)
-        known = 0 if peer is None else peer.confirm
+        known = 0 if peer is None else peer.awaited_generation
         if discovery.apply_reply(address, reply, boot_time()):
             urgent = wanted > known
             self._changes.notify(URGENT_GAP_S if urgent else TELL_GAP_S)
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -16,6 +16,7 @@
 from nutmegchute_core.members import LEASE_S
 from nutmegchute_core.members import MAX_CHANGES
 from nutmegchute_core.members import UP
+from nutmegchute_core.rosters import ANNOUNCE_RETRY_S
 from nutmegchute_core.rosters import CHANGED
 from nutmegchute_core.rosters import FLOOR_S
 from nutmegchute_core.rosters import FULL
@@ -23,7 +24,6 @@
 from nutmegchute_core.rosters import MAX_FLOORS
 from nutmegchute_core.rosters import MAX_PEERS
 from nutmegchute_core.rosters import PAUSED
-from nutmegchute_core.rosters import QUIET_S
 from nutmegchute_core.rosters import RENEWED
 from nutmegchute_core.rosters import Roster
 from nutmegchute_core.rosters import STALE
@@ -206,7 +206,9 @@
     members.expire(0.0)
     assert members.announce(announcement(A), 10.0) == PAUSED
     assert members.announce(announcement(A), 10.1) == PAUSED
-    assert members.announce(announcement(A), 10.0 + QUIET_S) == CHANGED
+    assert (
+        members.announce(announcement(A), 10.0 + ANNOUNCE_RETRY_S) == CHANGED
+    )
 
 
 def test_wrong_digest_is_repaired(pair: tuple[Roster, Roster]) -> None:
@@ -473,7 +475,7 @@
         if endpoint.state == DRAINING and calm > SPREAD_S and not self.cut:
             assert not usable, (endpoint.address, "drains")
         if endpoint.state == UP:
-            if calm > SPREAD_S + QUIET_S and not self.cut:
+            if calm > SPREAD_S + ANNOUNCE_RETRY_S and not self.cut:
                 assert usable, (endpoint.address, "is not known everywhere")
         elif waited > BOUND_S + LATE_S:
             assert not usable, (endpoint.address, "gets new work")
