--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -15,11 +15,11 @@
 # A replica that restarts knows no endpoint until each has announced itself
 # again, to it or to another. What it told before holds for so long, or its
 # restart would take a third of the endpoints away for a second or two.
-ORPHAN_S = 6.0
+ORPHAN_TTL_S = 6.0
 # What a silent replica told holds for so long while others are heard: its
 # endpoints announce themselves to those meanwhile. Where none is heard,
 # all holds on, since losing control must not end the service.
-SILENT_S = 10.0
+SOURCE_TTL_S = 10.0
 
 
 class Source:
@@ -153,9 +153,9 @@
             (one.heard_at for one in self._sources.values()), default=0
         )
         for replica, source in list(self._sources.items()):
-            if newest - source.heard_at <= SILENT_S:
+            if newest - source.heard_at <= SOURCE_TTL_S:
                 continue
-            if now - newest > SILENT_S / 2:
+            if now - newest > SOURCE_TTL_S / 2:
                 continue
             del self._sources[replica]
             self._version += bool(source.processes)
@@ -206,7 +206,7 @@
                 continue
             self._version += 1
             if delta.epoch != source.epoch:
-                self._orphans[process] = (announcement, now + ORPHAN_S)
+                self._orphans[process] = (announcement, now + ORPHAN_TTL_S)
         source.processes = {
             process: announcement
             for process, announcement in source.processes.items()
--- a/tests/test_registries.py
+++ b/tests/test_registries.py
@@ -1,8 +1,8 @@
 """Test the registry of a control replica and the catalog of an entry."""
 
 from nutmegchute_core.catalogs import Catalog
-from nutmegchute_core.catalogs import ORPHAN_S
-from nutmegchute_core.catalogs import SILENT_S
+from nutmegchute_core.catalogs import ORPHAN_TTL_S
+from nutmegchute_core.catalogs import SOURCE_TTL_S
 from nutmegchute_core.histories import TOMBSTONE_TTL_S
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import DRAINING
@@ -167,7 +167,7 @@
     assert states(catalog) == {"i1": UP, "i2": UP}
     after.register(announcement("i1"), 2, 2.0)
     catalog.apply("c", after.since(*catalog.watermark("c"), 2.0), 2.0)
-    catalog.expire(1.0 + ORPHAN_S + 0.1)
+    catalog.expire(1.0 + ORPHAN_TTL_S + 0.1)
     assert states(catalog) == {"i1": UP}
 
 
@@ -189,8 +189,8 @@
     sync(gone, catalog, 0.0)
     other = Registry(2)
     other.register(announcement("i2", B), 1, 0.0)
-    sync(other, catalog, SILENT_S + 0.5)
-    assert catalog.expire(SILENT_S + 0.6)
+    sync(other, catalog, SOURCE_TTL_S + 0.5)
+    assert catalog.expire(SOURCE_TTL_S + 0.6)
     assert states(catalog) == {"i2": UP}
 
 
