--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -105,7 +105,7 @@
             links, self._find_member, self._take_replies, self._group.meet
         )
         links.serve(DELIVER, self._on_deliver)
-        links.serve(FOLLOW, self._follows.ask)
+        links.serve(FOLLOW, self._follows.handle_request)
         links.serve(CLAIM, self._on_claim)
 
     @property
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -45,7 +45,7 @@
         """The index that each entry following this replica has in force."""
         return self._long_polls.progress.applied()
 
-    async def ask(self, request: FollowRequest) -> FollowReply:
+    async def handle_request(self, request: FollowRequest) -> FollowReply:
         """Return the reply to a request once it is due."""
         node = self._node()
         if node is None:
