--- a/packages/core/nutmegchute_core/__init__.py
+++ b/packages/core/nutmegchute_core/__init__.py
@@ -1,6 +1,6 @@
-"""Decide; a deterministic function of state, message, time and seed.
+"""Decision logic: deterministic in state, messages, time and seed.
 
-No module of this package may import sockets, files, threads or clocks:
-the same objects run under the daemon, under hypothesis and under virtual
-time, and ``tests/test_layers.py`` holds that line.
+No module of this package may import sockets, files, threads or clocks, so
+that the same objects run in the daemon, under hypothesis and on virtual
+time. ``tests/test_layers.py`` checks the imports.
 """
--- a/packages/core/nutmegchute_core/admissions.py
+++ b/packages/core/nutmegchute_core/admissions.py
@@ -1,8 +1,8 @@
-"""Decide, on the leader, how the group of control replicas changes.
+"""Decide, on the leader, which replicas are members of the group.
 
-No operator is there at night: a replica that lost its disk, or one that
-stands in for a lost machine, is taken in without being asked for. Who is
-taken in learns first; ``voters`` decides who votes.
+A replica that lost its disk, or that replaces a lost machine, is admitted
+without an operator, who may not be there at night. New members are learners;
+``voters`` decides which of them to promote.
 """
 
 from .memberships import Member
@@ -10,11 +10,11 @@
 from .memberships import MembershipChange
 from .replicas import Replica
 
-# A namesake that introduces itself under a new identity proves that the old
-# identity's disk is gone; this only rules out words that were under way.
+# A replica that returns under its name with a new identity proves that the
+# old identity's disk is gone; the delay only excludes messages in flight.
 REPLACED_SILENT_S = 1.0
-# Endpoints and routers are sent to every member. One that comes back later
-# introduces itself anew.
+# Silent learners are removed, since endpoints and routers are sent to every
+# member. One that comes back later requests to join again.
 LEARNER_SILENT_S = 5.0
 
 
@@ -24,7 +24,7 @@
     now: float,
     operator_managed: bool,
 ) -> MembershipChange | None:
-    """Return the next change that a leader should make, if one is due."""
+    """Return the next membership change for a leader to make, if any."""
     silent_s = {}
     for member in replica.membership.members:
         last_contact_at = replica.last_contact_at(member.identity)
@@ -39,13 +39,12 @@
     silent_s: dict[str, float],
     operator_managed: bool = False,
 ) -> MembershipChange | None:
-    """Return the next change of the membership, if one is due.
+    """Return the next change of a membership, if one is due.
 
-    ``waiting`` maps names to those that ask to be taken in, ``silent_s``
-    the identities of the others to how long they have been silent. One
-    change at a time, so that any two majorities share a replica. Where an
-    operator lists the replicas, ``listed``, only an operator brings names
-    in or leaves them out.
+    ``pending`` maps names to replicas that request to join, ``silent_s``
+    identities of members to the time since their last reply. One change is
+    made at a time, so that consecutive majorities share a replica. In an
+    ``operator_managed`` group only an operator adds or removes names.
     """
     for name in sorted(pending):
         old = membership.named(name)
--- a/packages/core/nutmegchute_core/charts.py
+++ b/packages/core/nutmegchute_core/charts.py
@@ -8,7 +8,7 @@
 
 
 class Chart:
-    """Hold the transitions of one kind of object, as its file gives them."""
+    """Hold the states and transitions of one kind of object."""
 
     __slots__ = ("_initial", "_name", "_states")
 
@@ -20,41 +20,44 @@
 
     @property
     def name(self) -> str:
-        """Name the chart."""
+        """Name of the chart."""
         return self._name
 
     @property
     def initial(self) -> str:
-        """Name the state in which every object starts."""
+        """State in which every object starts."""
         return self._initial
 
     @property
     def states(self) -> dict[str, dict[str, str]]:
-        """Map each state to its events and the states they lead to."""
+        """Transitions of each state: next state by event."""
         return self._states
 
     def step(self, state: str, event: str) -> str:
-        """Return the state that follows, or raise ChartError."""
+        """Return the state after an event.
+
+        :raises ChartError: the state has no transition for the event
+        """
         target = self._states[state].get(event)
         if target is None:
             raise ChartError(
-                f"{self._name}: state {state!r} takes no event {event!r}"
+                f"{self._name}: no transition from {state!r} on {event!r}"
             )
         return target
 
     def is_final(self, state: str) -> bool:
-        """Tell whether no event leaves the state."""
+        """Return whether a state has no transitions."""
         return not self._states[state]
 
 
 class ChartFile(msgspec.Struct, forbid_unknown_fields=True):
-    """Give the form of a chart's file."""
+    """Define the schema of a chart file."""
 
     initial: str
     states: dict[str, dict[str, str]]
 
 
 def load_chart(name: str) -> Chart:
-    """Read a chart that ships with the package."""
+    """Load a chart that is shipped with the package."""
     folder = importlib.resources.files(__package__)
     return Chart(name, folder.joinpath(f"chart_{name}.json").read_bytes())
--- a/packages/core/nutmegchute_core/commands.py
+++ b/packages/core/nutmegchute_core/commands.py
@@ -1,4 +1,4 @@
-"""List every command that the replicated log may hold."""
+"""Define the commands of the replicated log."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 class NoOp(msgspec.Struct, frozen=True, tag=True):
-    """Open a leader's term, so that entries of earlier terms commit."""
+    """Start a leader's term, so that entries of earlier terms commit."""
 
 
 Command = (
--- a/packages/core/nutmegchute_core/effects.py
+++ b/packages/core/nutmegchute_core/effects.py
@@ -1,4 +1,4 @@
-"""List what a replica asks its driver to do."""
+"""Define the effects that a replica asks its driver to carry out."""
 
 from .messages import HardState
 from .messages import LogEntry
@@ -7,12 +7,12 @@
 
 
 class Effects:
-    """List what the driver must do, in this order.
+    """Hold the effects, which must be carried out in this order.
 
-    First make ``hard_state``, ``snapshot`` and ``entries`` durable
-    (``entries`` replace all that the log held from the first one's index
-    on; an installed ``snapshot`` replaces the whole log), then send
-    ``messages``, then restore ``snapshot`` and apply ``committed``.
+    First make ``hard_state``, ``snapshot`` and ``entries`` durable, then send
+    ``messages``, then restore ``snapshot`` and apply ``committed``. Stored
+    entries from the index of the first of ``entries`` on are replaced; a
+    ``snapshot`` replaces the whole log.
     """
 
     __slots__ = ("committed", "entries", "hard_state", "messages", "snapshot")
--- a/packages/core/nutmegchute_core/errors.py
+++ b/packages/core/nutmegchute_core/errors.py
@@ -1,12 +1,12 @@
-"""Errors of the decision layer."""
+"""Errors of the core."""
 
 
 class CoreError(Exception):
-    """Stand at the root of every error the core raises."""
+    """Base class of all errors that the core raises."""
 
 
 class DeclarationError(CoreError):
-    """Say which place of a declaration is wrong and what is allowed."""
+    """Report an invalid value in a declaration."""
 
     __slots__ = ("_path", "_reason")
 
@@ -17,21 +17,21 @@
 
     @property
     def path(self) -> str:
-        """Name the place, as a path from the root of the document."""
+        """Path from the root of the document to the invalid value."""
         return self._path
 
     @property
     def reason(self) -> str:
-        """Tell what is allowed there."""
+        """What is wrong with the value, or what is allowed."""
         return self._reason
 
 
 class ChartError(CoreError):
-    """Report an event that the present state of a chart does not take."""
+    """Report an event without a transition in the current state."""
 
 
 class NotLeaderError(CoreError):
-    """Refuse a proposal at a replica that does not lead."""
+    """Reject a proposal at a replica that is not the leader."""
 
     __slots__ = ("_leader",)
 
@@ -41,13 +41,13 @@
 
     @property
     def leader(self) -> str | None:
-        """Name the leader this replica last heard of, if any."""
+        """Identity of the leader, if known."""
         return self._leader
 
 
 class EvacuationError(CoreError):
-    """Refuse an order about an availability zone and say why."""
+    """Reject an evacuation order, with the reason."""
 
 
 class ReconfigurationError(CoreError):
-    """Refuse a change of the control replicas and say why."""
+    """Reject a change of the control replicas, with the reason."""
--- a/packages/core/nutmegchute_core/formations.py
+++ b/packages/core/nutmegchute_core/formations.py
@@ -1,4 +1,4 @@
-"""Form a group of control replicas from empty disks, once."""
+"""Form a group of control replicas from empty disks."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 
 class Introduction(msgspec.Struct, frozen=True):
-    """Say who a replica is and, once formed, how its group began.
+    """Describe a replica and the founding members of its group, if any.
 
-    ``leader`` is the gRPC address of the leader, where one is known: it
-    alone takes members in, and a newcomer may be told of followers only.
+    ``leader`` is the gRPC address of the leader, if known: only the leader
+    admits members, and a new replica's settings may list followers only.
     """
 
     member: Member
@@ -21,13 +21,12 @@
 
 
 class Formation:
-    """Decide, on an empty disk, between forming and joining a group.
+    """Decide, for an empty disk, between forming and joining a group.
 
-    A group is formed only by the listed replicas, when every one of them
-    is there with an empty disk; others wait until they are taken in. A
-    replica whose disk was lost can therefore not take part in forming a
-    second group beside the first: some other replica holds the first and
-    says so.
+    Only the listed founders form a group, once all of them are present with
+    empty disks; other replicas wait to be admitted. So a founder that lost
+    its disk can't form a second group beside the first one, since another
+    founder still belongs to the first and reports it.
     """
 
     __slots__ = ("_founders", "_introductions", "_own")
@@ -40,11 +39,11 @@
         }
 
     def record(self, introduction: Introduction) -> None:
-        """Take another replica's introduction."""
+        """Record another replica's introduction."""
         self._introductions[introduction.member.grpc_address] = introduction
 
     def result(self) -> Introduction | None:
-        """Return the group to form or join, or None while it is open."""
+        """Return the group to form or join, or None while undecided."""
         for introduction in self._introductions.values():
             if introduction.group is not None:
                 return introduction
--- a/packages/core/nutmegchute_core/join_requests.py
+++ b/packages/core/nutmegchute_core/join_requests.py
@@ -1,15 +1,15 @@
-"""Remember which replicas ask to be taken into the group."""
+"""Track the replicas that request to join the group."""
 
 from .formations import Introduction
 from .memberships import Member
 from .memberships import Membership
 
-# A replica that waits introduces itself far more often.
+# A replica that waits to join introduces itself far more often.
 JOIN_REQUEST_TTL_S = 5.0
 
 
 class JoinRequests:
-    """Hold who introduced itself lately."""
+    """Hold the latest introduction of each replica until it expires."""
 
     __slots__ = ("_requests",)
 
@@ -17,10 +17,10 @@
         self._requests: dict[str, tuple[Member, float]] = {}
 
     def record(self, introduction: Introduction, now: float) -> None:
-        """Take an introduction.
+        """Record an introduction if it names the group.
 
-        Founders introduce themselves as well, but before they belong to
-        the group; once removed they would seem to ask to come back.
+        Founders introduce themselves before the group exists. If that were
+        recorded, one removed soon after would seem to request to rejoin.
         """
         if introduction.group is None:
             return
@@ -28,7 +28,7 @@
         self._requests[member.name] = (member, now)
 
     def pending(self, membership: Membership, now: float) -> dict[str, Member]:
-        """Map names to the replicas that wait to become members."""
+        """Return the replicas that wait to become members, by name."""
         found = {}
         for name, (member, received_at) in self._requests.items():
             if now - received_at > JOIN_REQUEST_TTL_S:
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -1,4 +1,4 @@
-"""Apply committed commands to the state that all replicas share."""
+"""Apply committed commands to the replicated state machine."""
 
 from functools import singledispatchmethod
 
@@ -33,9 +33,9 @@
 
 
 class MachineState(msgspec.Struct, frozen=True):
-    """Hold the whole replicated state in the form that snapshots keep.
+    """Hold the whole replicated state as stored in snapshots.
 
-    A field added later needs a default, so that older snapshots load.
+    New fields need a default, so that older snapshots can be loaded.
     """
 
     applied: int = 0
@@ -47,7 +47,7 @@
 
 
 class StateMachine:
-    """Hold the replicated state; equal logs give equal machines."""
+    """Hold the replicated state, which depends on the log only."""
 
     __slots__ = (
         "_applied",
@@ -68,41 +68,41 @@
 
     @property
     def tree(self) -> Tree:
-        """Give the configuration tree."""
+        """Configuration tree."""
         return self._tree
 
     @property
     def entries(self) -> set[str]:
-        """Name the entries that may act on the tree."""
+        """Names of the enrolled entries, which may act on the tree."""
         return self._entries
 
     @property
     def ledger(self) -> Ledger:
-        """Give the claims on idempotency keys."""
+        """Ledger of claims on idempotency keys."""
         return self._ledger
 
     @property
     def quarantine(self) -> Quarantine:
-        """Give the requests that may crash endpoints."""
+        """Fingerprints of requests that may crash endpoints."""
         return self._quarantine
 
     @property
     def evacuations(self) -> Evacuations:
-        """Give the availability zones that are evacuated."""
+        """Availability zones that are evacuated."""
         return self._evacuations
 
     @property
     def applied(self) -> int:
-        """Give the index of the last entry applied."""
+        """Index of the last entry applied."""
         return self._applied
 
     def apply(self, entry: LogEntry) -> Outcome:
-        """Apply the next entry and return what became of it."""
+        """Apply the next entry and return its outcome."""
         self._applied = entry.index
         return self._apply(entry.command, entry.index)
 
     def snapshot(self) -> MachineState:
-        """Give the state after the last entry applied."""
+        """Return the state after the last entry applied."""
         return MachineState(
             applied=self._applied,
             tree=self._tree.snapshot(),
@@ -113,7 +113,7 @@
         )
 
     def restore(self, state: MachineState) -> None:
-        """Take a snapshot's state in place of the present one."""
+        """Replace the state by that of a snapshot."""
         self._applied = state.applied
         self._tree.restore(state.tree)
         self._entries = set(state.entries)
@@ -123,7 +123,7 @@
 
     @singledispatchmethod
     def _apply(self, command: object, index: int) -> Outcome:
-        raise TypeError(f"no such command: {command!r}")
+        raise TypeError(f"unknown command: {command!r}")
 
     @_apply.register
     def _(self, command: NoOp, index: int) -> Outcome:
