--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -1,4 +1,4 @@
-"""Merge, on an entry, what the control replicas tell of endpoints."""
+"""Merge the endpoints that the control replicas report to an entry."""
 
 from collections import OrderedDict
 
@@ -12,41 +12,41 @@
 from .members import Key
 from .members import Process
 
-# A replica that restarts knows no endpoint until each has announced itself
-# again, to it or to another. What it told before holds for so long, or its
-# restart would take a third of the endpoints away for a second or two.
+# How long the endpoints of a restarted replica are kept. It knows none until
+# they have announced themselves again, to it or to another replica; without
+# this its restart would remove a third of them for a second or two.
 ORPHAN_TTL_S = 6.0
-# What a silent replica told holds for so long while others are heard: its
-# endpoints announce themselves to those meanwhile. Where none is heard,
-# all holds on, since losing control must not end the service.
+# How long the endpoints of an unreachable replica are kept while others are
+# reachable; they announce themselves to those in the meantime. If no replica
+# is reachable all are kept, since calls must continue without control.
 SOURCE_TTL_S = 10.0
 
 
 class Source:
-    """Hold what one control replica told."""
+    """Hold the endpoints that one control replica reported."""
 
-    __slots__ = ("epoch", "generation", "heard_at", "processes")
+    __slots__ = ("epoch", "generation", "last_contact_at", "processes")
 
     def __init__(self) -> None:
         self.epoch = 0
         self.generation = 0
-        self.heard_at = 0.0
+        self.last_contact_at = 0.0
         self.processes: dict[Process, Announcement] = {}
 
 
 class Catalog:
-    """Know the endpoints that any control replica vouches for.
+    """Merge the endpoints that any control replica reports.
 
-    An instance that starts again under its name is another process. What
-    any replica still tells of the earlier one names no endpoint.
+    An instance that restarts under its name is a new process. Reports of the
+    old process are then ignored, from every replica.
     """
 
     __slots__ = (
         "_draining",
         "_ended",
-        "_latest",
-        "_next",
-        "_order",
+        "_latest_incarnations",
+        "_next_sequence",
+        "_sequence",
         "_orphans",
         "_sources",
         "_version",
@@ -55,28 +55,28 @@
     def __init__(self) -> None:
         self._sources: dict[str, Source] = {}
         self._orphans: dict[Process, tuple[Announcement, float]] = {}
-        # The end of a process, and its leaving, are final: words of it
-        # that another replica still has, or hears late, change nothing.
+        # The end and the draining of a process are final: reports that are
+        # late, or from a replica that does not know, change nothing.
         self._ended: OrderedDict[Process, float] = OrderedDict()
         self._draining: OrderedDict[Process, float] = OrderedDict()
-        self._order: dict[Process, int] = {}
-        # The latest incarnation heard of by instance.
-        self._latest: dict[str, int] = {}
-        self._next = 1
+        self._sequence: dict[Process, int] = {}
+        # The latest known incarnation by instance.
+        self._latest_incarnations: dict[str, int] = {}
+        self._next_sequence = 1
         self._version = 0
 
     @property
     def version(self) -> int:
-        """Count the changes of what is known."""
+        """Return a number that grows with each change."""
         return self._version
 
     @property
     def has_synced(self) -> bool:
-        """Return whether any replica has told its endpoints."""
+        """Return whether any replica has reported its endpoints."""
         return any(one.generation for one in self._sources.values())
 
     def watermark(self, replica: str) -> tuple[int, int]:
-        """Return the epoch and generation held of a replica."""
+        """Return the epoch and generation applied from a replica."""
         source = self._sources.get(replica)
         if source is None:
             return 0, 0
@@ -84,32 +84,32 @@
 
     @property
     def watermarks(self) -> dict[str, tuple[int, int]]:
-        """Map the replicas to the epoch and generation held of each."""
+        """Return the watermark of each replica."""
         return {replica: self.watermark(replica) for replica in self._sources}
 
-    def refresh(self, silent: list[str], now: float) -> bool:
-        """Take word that all replicas but the silent ones are heard.
+    def refresh(self, unreachable: list[str], now: float) -> bool:
+        """Record contact with all replicas but the unreachable ones.
 
-        Return whether something changed.
+        Return whether an endpoint changed.
         """
         for replica, source in self._sources.items():
-            if replica not in silent:
-                source.heard_at = now
+            if replica not in unreachable:
+                source.last_contact_at = now
         return self.expire(now)
 
     def apply(self, replica: str, delta: Delta, now: float) -> bool:
-        """Take a replica's word; return whether something changed."""
+        """Apply a replica's delta; return whether an endpoint changed."""
         source = self._sources.setdefault(replica, Source())
-        source.heard_at = now
+        source.last_contact_at = now
         if delta.base and (delta.epoch, delta.base) != self.watermark(replica):
-            # It leads on from another generation; asking again gives all.
+            # The delta has another base; the next request returns everything.
             source.generation = 0
             return False
         before = self._version
         if delta.base == 0:
-            self._start_over(source, delta, now)
+            self._replace_all(source, delta, now)
         for announcement in delta.present:
-            self._put(source, announcement, now)
+            self._add(source, announcement, now)
         for process in delta.lapsed:
             if source.processes.pop(process, None) is not None:
                 self._version += 1
@@ -120,54 +120,55 @@
         return self._version != before
 
     def end(self, process: Process, now: float) -> bool:
-        """Take word that a process is gone for good."""
+        """Record the end of a process; return whether it is new."""
         if process in self._ended:
             return False
-        # The end of a later start is the end of the earlier ones as well.
-        self._note_latest(process)
+        # This also ends all earlier processes of the instance.
+        self._record_incarnation(process)
         _remember(self._ended, process, now)
         self._version += 1
         return True
 
     def remove_instance(self, instance: str, address: str, now: float) -> bool:
-        """Take word that an instance is no longer at an address.
+        """End an instance's process at an address.
 
-        One that started again elsewhere meanwhile is not meant.
+        A process of the instance at another address is kept: it may have
+        restarted there.
         """
-        left = False
-        for announcement in self._vouched():
+        changed = False
+        for announcement in self._announcements():
             if announcement.instance != instance:
                 continue
             if announcement.endpoint == address:
-                left |= self.end(announcement.process, now)
-        return left
+                changed |= self.end(announcement.process, now)
+        return changed
 
     def expire(self, now: float) -> bool:
-        """Drop what nobody vouches for any more."""
+        """Drop endpoints that no replica reports any more."""
         before = self._version
         for process, (_, until) in list(self._orphans.items()):
             if now > until:
                 del self._orphans[process]
                 self._version += 1
-        newest = max(
-            (one.heard_at for one in self._sources.values()), default=0
+        last_contact = max(
+            (one.last_contact_at for one in self._sources.values()), default=0
         )
         for replica, source in list(self._sources.items()):
-            if newest - source.heard_at <= SOURCE_TTL_S:
+            if last_contact - source.last_contact_at <= SOURCE_TTL_S:
                 continue
-            if now - newest > SOURCE_TTL_S / 2:
+            if now - last_contact > SOURCE_TTL_S / 2:
                 continue
             del self._sources[replica]
             self._version += bool(source.processes)
-        self._forget_orders()
+        self._prune()
         return self._version != before
 
     def live(self) -> list[Announcement]:
-        """List the endpoints, the newest process of each address."""
+        """List the endpoints, with the newest process of each address."""
         found: dict[Key, Announcement] = {}
-        for announcement in self._vouched():
+        for announcement in self._announcements():
             process = announcement.process
-            if process in self._ended or self._outdated(process):
+            if process in self._ended or self._is_superseded(process):
                 continue
             if process in self._draining:
                 announcement = msgspec.structs.replace(
@@ -178,28 +179,28 @@
                 found[announcement.key] = announcement
         return [found[key] for key in sorted(found)]
 
-    def _note_latest(self, process: Process) -> None:
+    def _record_incarnation(self, process: Process) -> None:
         instance, incarnation = process
-        latest = self._latest.get(instance, 0)
-        self._latest[instance] = max(latest, incarnation)
+        latest = self._latest_incarnations.get(instance, 0)
+        self._latest_incarnations[instance] = max(latest, incarnation)
 
-    def _outdated(self, process: Process) -> bool:
+    def _is_superseded(self, process: Process) -> bool:
         instance, incarnation = process
-        return incarnation < self._latest.get(instance, 0)
+        return incarnation < self._latest_incarnations.get(instance, 0)
 
     def _rank(self, announcement: Announcement) -> tuple[bool, int]:
-        # One that still announces itself goes before one that leaves; of
-        # two that do, the one heard of later is the newer process.
-        order = self._order[announcement.process]
+        # An active process ranks above a draining one; of two active ones,
+        # the one first reported later is newer.
+        order = self._sequence[announcement.process]
         return announcement.state != DRAINING, order
 
-    def _vouched(self) -> list[Announcement]:
+    def _announcements(self) -> list[Announcement]:
         found = [announcement for announcement, _ in self._orphans.values()]
         for source in self._sources.values():
             found.extend(source.processes.values())
         return found
 
-    def _start_over(self, source: Source, delta: Delta, now: float) -> None:
+    def _replace_all(self, source: Source, delta: Delta, now: float) -> None:
         present = {one.process for one in delta.present}
         for process, announcement in source.processes.items():
             if process in present:
@@ -213,34 +214,34 @@
             if process in present
         }
 
-    def _put(
+    def _add(
         self, source: Source, announcement: Announcement, now: float
     ) -> None:
         process = announcement.process
-        self._note_latest(process)
+        self._record_incarnation(process)
         if announcement.state == DRAINING:
             _remember(self._draining, process, now)
-        if process not in self._order:
-            self._order[process] = self._next
-            self._next += 1
+        if process not in self._sequence:
+            self._sequence[process] = self._next_sequence
+            self._next_sequence += 1
         self._orphans.pop(process, None)
         if source.processes.get(process) != announcement:
             self._version += 1
         source.processes[process] = announcement
 
-    def _forget_orders(self) -> None:
-        if len(self._order) <= MAX_TOMBSTONES:
+    def _prune(self) -> None:
+        if len(self._sequence) <= MAX_TOMBSTONES:
             return
-        vouched = {one.process for one in self._vouched()}
-        self._order = {
+        announced_processes = {one.process for one in self._announcements()}
+        self._sequence = {
             process: order
-            for process, order in self._order.items()
-            if process in vouched
+            for process, order in self._sequence.items()
+            if process in announced_processes
         }
-        names = {instance for instance, _ in vouched}
-        self._latest = {
+        names = {instance for instance, _ in announced_processes}
+        self._latest_incarnations = {
             instance: incarnation
-            for instance, incarnation in self._latest.items()
+            for instance, incarnation in self._latest_incarnations.items()
             if instance in names
         }
 
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -1,25 +1,26 @@
-"""Find the route of a request and the service that it goes to."""
+"""Find the route of a request and the service that receives it."""
 
 from typing import Any
 
 from .rules import PRIORITIES
 from .rules import Rule
 
-# How much of a request's body is read before an endpoint is chosen. What is
-# kept can be sent to a second endpoint if the first one sheds it, and no slot
-# is held for a body that trickles in; the rest passes through as it comes.
-# Each of the 40 calls that an entry takes at once may hold that much: with
-# fifty bodies of 16 MiB at once its process grew from 42 to 90 MiB (make
-# bench-bodies), and ten callers were refused.
+# Bytes of a request body that are read before an endpoint is chosen. They can
+# be resent to a second endpoint if the first one sheds the call, and a slowly
+# arriving body does not occupy a slot meanwhile; the rest is streamed. Each
+# of the 40 concurrent calls of an entry may buffer that much: with fifty
+# bodies of 16 MiB at once its process grew from 42 to 90 MiB
+# (make bench-bodies), and ten callers were refused.
 BUFFER_BYTES = 65536
 LARGE_BUFFER_BYTES = 1024 * 1024
 
-# Steps of this length fill the unit interval more evenly than any other.
-GOLDEN_SHARE = 0.6180339887498949
+# Conjugate of the golden ratio: steps of this length cover the unit interval
+# more evenly than any other.
+GOLDEN_STEP = 0.6180339887498949
 
 
 class Route:
-    """Say where requests for a host and path go, and by which rule."""
+    """Map requests for a host and path prefix to services and a rule."""
 
     __slots__ = (
         "_host",
@@ -45,39 +46,39 @@
 
     @property
     def name(self) -> str:
-        """Name the route."""
+        """Return the name of the route."""
         return self._name
 
     @property
     def host(self) -> str:
-        """Return the host, in small letters."""
+        """Return the host name in lower case."""
         return self._host
 
     @property
     def path_prefix(self) -> str:
-        """Return the beginning of the paths it covers."""
+        """Return the prefix of the paths that the route covers."""
         return self._path_prefix
 
     @property
     def buffer_bytes(self) -> int:
-        """Return how much of a body is kept, to be sent once more."""
+        """Return how much of a body is buffered to be resent, in bytes."""
         return self._buffer_bytes
 
     @property
     def rule(self) -> Rule:
-        """Return the rule its requests fall under."""
+        """Return the rule that applies to the requests."""
         return self._rule
 
     def choose(self) -> str:
         """Return the service of the next request.
 
-        Each part gets its share of any run of requests to within one or
-        two, so that shares hold over the few that one entry sees; drawn
-        at random, an entry's hundred would miss by five in a hundred.
+        In any run of requests each part gets its share to within one or two
+        requests, so that splits hold even over the few of one entry. A random
+        choice would be off by five in a hundred requests.
         """
         if len(self._parts) == 1:
             return self._parts[0][0]
-        self._point = (self._point + GOLDEN_SHARE) % 1.0
+        self._point = (self._point + GOLDEN_STEP) % 1.0
         for service, until in self._parts:
             if self._point < until:
                 return service
@@ -108,8 +109,8 @@
 def read_routes(documents: dict[str, Any], phase: float) -> list[Route]:
     """Build every route that a checked tree declares.
 
-    ``phase`` is from 0 to 1 and differs between entries: were all splits
-    to begin with the same part, a quiet route would reach no other.
+    ``phase`` is from 0 to 1 and differs between entries. If all of them began
+    a split with the same part, a quiet route would use only that part.
     """
     routes = []
     for team in sorted(documents):
@@ -134,7 +135,7 @@
 
 
 def _parts(document: dict[str, Any]) -> list[tuple[str, float]]:
-    """List services, each with where its part of the unit interval ends."""
+    """List services, each with the end of its part of [0, 1]."""
     if "split" not in document:
         return [(document["service"], 1.0)]
     total = sum(part["weight"] for part in document["split"])
--- a/packages/core/nutmegchute_core/rules.py
+++ b/packages/core/nutmegchute_core/rules.py
@@ -1,4 +1,4 @@
-"""Read services and their rules for requests out of declarations."""
+"""Read services and their rules for requests from declarations."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 class Rule:
-    """Say how one kind of request may be sent, retried or refused."""
+    """Hold how one class of requests is sent, retried and prioritised."""
 
     __slots__ = (
         "_attempts",
@@ -43,37 +43,37 @@
 
     @property
     def name(self) -> str:
-        """Name the class of request."""
+        """Return the name of the class of requests."""
         return self._name
 
     @property
     def idempotent(self) -> bool:
-        """Return whether running the request twice does no harm."""
+        """Return whether running a request twice is harmless."""
         return self._idempotent
 
     @property
     def priority(self) -> str:
-        """Name the priority, one of PRIORITIES."""
+        """Return the priority, one of PRIORITIES."""
         return self._priority
 
     @property
     def deadline_s(self) -> float:
-        """Return the time in which an answer is still of use, in seconds."""
+        """Return the time after which an answer is useless, in seconds."""
         return self._deadline_s
 
     @property
     def objective_s(self) -> float:
-        """Return the time in which an answer is of full use, in seconds."""
+        """Return the target time of an answer, in seconds."""
         return self._objective_s
 
     @property
     def attempts(self) -> int:
-        """Return the most sends for one call, the first included."""
+        """Return the maximum number of sends per call, including the first."""
         return self._attempts
 
     @property
     def hedge(self) -> bool:
-        """Return whether a second send may race the first."""
+        """Return whether a call may be hedged with a second send."""
         return self._hedge and self._idempotent
 
     def matches(self, method: str, path: str) -> bool:
@@ -84,7 +84,7 @@
 
 
 class Service:
-    """Hold what a team declared about one service."""
+    """Hold a team's declaration of one service."""
 
     __slots__ = (
         "_connections",
@@ -119,22 +119,22 @@
 
     @property
     def name(self) -> str:
-        """Name the service."""
+        """Return the name of the service."""
         return self._name
 
     @property
     def slots(self) -> int:
-        """Return the calls one endpoint runs at once."""
+        """Return the number of calls an endpoint runs concurrently."""
         return self._slots
 
     @property
     def queue(self) -> int:
-        """Return the most calls an entry keeps waiting."""
+        """Return the maximum number of calls that an entry queues."""
         return self._queue
 
     @property
     def probes_per_s(self) -> float:
-        """Return the service's whole probe budget, in probes a second."""
+        """Return the probe budget over all entries, in probes a second."""
         return self._probes_per_s
 
     @property
@@ -144,32 +144,32 @@
 
     @property
     def most_entries(self) -> int:
-        """Return the most entries that ever share the probe budget."""
+        """Return the maximum number of entries that share the probe budget."""
         return self._most_entries
 
     @property
     def key_sha256(self) -> str | None:
-        """Return the digest of the key that announcements must show."""
+        """Return the digest of the key that announcements must carry."""
         return self._key_sha256
 
     @property
     def connections(self) -> int | None:
-        """Return the most connections an endpoint takes from all entries."""
+        """Return the most connections that an endpoint accepts in total."""
         return self._connections
 
     @property
     def warm_up_per_s(self) -> float | None:
-        """Return the calls a second that a cold endpoint bears, if bounded."""
+        """Return the maximum calls a second to a cold endpoint, if any."""
         return self._warm_up_per_s
 
     @property
     def warm_up_s(self) -> float:
-        """Return how long an endpoint is cold after its start, in seconds."""
+        """Return how long an endpoint is cold after a start, in seconds."""
         return self._warm_up_s
 
     @property
     def rules(self) -> list[Rule]:
-        """List the rules, first match first."""
+        """Return the rules; the first that matches applies."""
         return self._rules
 
     def rule_for(self, method: str, path: str) -> Rule | None:
@@ -190,9 +190,9 @@
 
 
 class CallerLimits:
-    """Bound what callers may send and how long they may stay idle.
+    """Bound the size of requests and the idle time of connections.
 
-    None leaves the entry's own bound.
+    None stands for the entry's default.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "idle_s")
@@ -205,7 +205,7 @@
 
 
 def read_limits(documents: dict[str, Any]) -> CallerLimits:
-    """Read the limits of a checked tree; the last team's go first."""
+    """Read the limits of a checked tree; the last team takes precedence."""
     merged: dict[str, Any] = {}
     for team in sorted(documents):
         merged.update(documents[team].get("limits", {}))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Find routes and divide requests by weight."""
+"""Test the lookup of routes and the split of requests by weight."""
 
 from collections import Counter
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def route(**values: Any) -> dict[str, Any]:
-    """Build a route's document."""
+    """Build the document of a route."""
     document = {
         "host": "loans.example",
         "path_prefix": "/",
@@ -27,13 +27,13 @@
 
 
 def tree(**routes: Any) -> dict[str, Any]:
-    """Build a tree of one team with two services and the routes."""
+    """Build a tree with one team, two services and the given routes."""
     services: dict[str, Any] = {"prestamos": {}, "catalogo": {}}
     return {"lending": {"services": services, "routes": routes}}
 
 
 def test_longest_prefix_of_the_host_wins() -> None:
-    """Find by host, whatever its capitals and port, and longest prefix."""
+    """Match the host regardless of case and port, and the longest prefix."""
     documents = tree(
         all=route(),
         loans=route(path_prefix="/loans/"),
@@ -48,8 +48,8 @@
     assert table.find("c.example", "/") is None
 
 
-def test_rule_of_a_route() -> None:
-    """Give the balancer what the route says of its requests."""
+def test_route_sets_the_rule_of_its_requests() -> None:
+    """Build the balancer's rule from the route's document."""
     document = route(idempotent=False, attempts=3, priority=1)
     rule = Route("loans", document, 0.0).rule
     assert (rule.deadline_s, rule.objective_s) == (1.2, 0.3)
@@ -58,11 +58,11 @@
     assert not rule.hedge
 
 
-def test_shares_hold_over_few_requests_of_many_entries() -> None:
-    """Keep to a split within 0.05 where each entry sees 15 requests.
+def test_split_holds_over_few_requests_at_many_entries() -> None:
+    """Guard against a split that is off by 0.05 or more on a quiet route.
 
-    Seventeen entries see 255 requests of a quiet route. Were each to begin
-    with the heavier part, the lighter one would get too little.
+    Seventeen entries get 15 requests each. If all of them began with the
+    heavier part, the lighter one would get too few requests.
     """
     split = [
         {"service": "prestamos", "weight": 90},
@@ -97,15 +97,15 @@
         {"attempts": 0},
     ],
 )
-def test_wrong_route_is_refused(values: dict[str, Any]) -> None:
-    """Name the place of what a route may not say."""
+def test_invalid_route_is_rejected(values: dict[str, Any]) -> None:
+    """Reject a route whose document is invalid."""
     document = tree(bad=route(**values))["lending"]
     with pytest.raises(DeclarationError):
         check_team("lending", document)
 
 
 def test_route_needs_a_declared_service() -> None:
-    """Refuse a route to nowhere, and two routes of one place."""
+    """Reject routes to undeclared services and duplicate routes."""
     with pytest.raises(DeclarationError, match="not declared"):
         check_tree(tree(lost=route(service="reservas")))
     with pytest.raises(DeclarationError, match="already"):
