--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -122,7 +122,7 @@
 
 
 def redirect(node: Node) -> FollowReply:
-    """Return a reply that names the leader, if a follower knows it."""
+    """Return a reply that names the leader, if this replica knows it."""
     leader = node.replica.membership.find(node.replica.leader)
     if leader is None or leader.identity == node.replica.identity:
         return FollowReply(None, None, False)
@@ -130,19 +130,19 @@
 
 
 def tree_changes_since(
-    node: Node, known: int, by_steps: bool = False
+    node: Node, after: int, by_steps: bool = False
 ) -> FollowReply | None:
     """Return the changes of the tree after an index, None if there are none.
 
     ``by_steps`` returns steps in place of whole branches where they are kept.
     """
     tree = node.machine.tree
-    if tree.index <= known:
+    if tree.index <= after:
         return None
-    steps = tree.steps_since(known) if by_steps and known else None
+    steps = tree.steps_since(after) if by_steps and after else None
     if steps is not None:
         return FollowReply(None, None, True, tree.index, steps=steps)
-    changed = tree.changed_since(known)
+    changed = tree.changed_since(after)
     return FollowReply(
         leader=None,
         leader_address=None,
@@ -177,7 +177,7 @@
     )
 
 
-def quarantine_since(node: Node, known: int) -> QuarantineUpdate | None:
+def quarantine_since(node: Node, after: int) -> QuarantineUpdate | None:
     """Return the quarantine cases if they changed after a log index."""
     quarantine = node.machine.quarantine
-    return quarantine.since(known) if quarantine.index > known else None
+    return quarantine.since(after) if quarantine.index > after else None
--- a/packages/core/nutmegchute_core/trees.py
+++ b/packages/core/nutmegchute_core/trees.py
@@ -173,11 +173,11 @@
     def apply(self, index: int, change: Change) -> Answer:
         """Apply a committed change; return the first answer to a duplicate."""
         digest = _digest(change)
-        known = self._answers.get(change.change_id)
-        if known is not None:
+        previous = self._answers.get(change.change_id)
+        if previous is not None:
             # A resent change may have been accepted already: applied again,
             # it would conflict with itself or overwrite a later change.
-            return self._answer_duplicate(index, change, known, digest)
+            return self._answer_duplicate(index, change, previous, digest)
         before = self._revisions_of(change.teams)
         answer = self._decide(index, change)
         self._store_answer(StoredAnswer(digest, answer))
@@ -237,10 +237,10 @@
         self._audit = deque(state.audit, AUDIT_KEPT)
 
     def _answer_duplicate(
-        self, index: int, change: Change, known: StoredAnswer, digest: str
+        self, index: int, change: Change, previous: StoredAnswer, digest: str
     ) -> Answer:
-        if known.digest == digest:
-            return known.answer
+        if previous.digest == digest:
+            return previous.answer
         # Returning the first answer would report a change as accepted that
         # was never evaluated.
         detail = f"change id {change.change_id} was used for another change"
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -39,7 +39,7 @@
     )
 
 
-def balancer(*zones: str) -> Balancer:
+def build_balancer(*zones: str) -> Balancer:
     """Build an entry's balancer with an endpoint in each named zone."""
     built = Balancer(seed=1, availability_zone=NEAR)
     document = team(**{SERVICE: [rule(attempts=3, hedge=True)]})
@@ -119,97 +119,97 @@
 def test_zone_without_endpoints_can_be_evacuated() -> None:
     """Guard against sends to endpoints that start in an evacuated zone."""
     check_zone("hall-9")
-    found = balancer(FAR)
-    found.apply_evacuations(EvacuationUpdate(5, ["hall-9"]), 0.0)
-    found.update_upstreams([endpoint(1, "hall-9"), endpoint(2, FAR)], 1.0)
+    balancer = build_balancer(FAR)
+    balancer.apply_evacuations(EvacuationUpdate(5, ["hall-9"]), 0.0)
+    balancer.update_upstreams([endpoint(1, "hall-9"), endpoint(2, FAR)], 1.0)
     for number in range(4):
-        _, actions = found.arrive(SERVICE, "GET", "/a", 1.0 + number)
+        _, actions = balancer.arrive(SERVICE, "GET", "/a", 1.0 + number)
         for send in sends(actions):
             assert send.endpoint == "10.0.0.2:80"
 
 
 def test_nothing_is_sent_to_an_evacuated_zone() -> None:
     """Guard against first sends, retries and hedges in an evacuated zone."""
-    found = balancer(NEAR, FAR, NEAR, FAR)
-    found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.0)
+    balancer = build_balancer(NEAR, FAR, NEAR, FAR)
+    balancer.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.0)
     reached = []
     for number in range(30):
         now = number * 0.1
-        call_id, actions = found.arrive(SERVICE, "GET", "/a", now)
+        call_id, actions = balancer.arrive(SERVICE, "GET", "/a", now)
         while sends(actions):
             send = sends(actions)[0]
             reached.append(send.endpoint)
-            actions = found.tick(now + 0.09)
+            actions = balancer.tick(now + 0.09)
             for hedge in sends(actions):
                 reached.append(hedge.endpoint)
             result = Result(call_id, send.attempt, NOT_RUN, 0.01, shed=True)
-            actions = found.finish(result, now + 0.09)
-        found.abandon(call_id, now + 0.09)
+            actions = balancer.finish(result, now + 0.09)
+        balancer.abandon(call_id, now + 0.09)
     assert len(reached) > 30
     assert set(reached) == {"10.0.0.2:80", "10.0.0.4:80"}
 
 
 def test_queued_calls_are_not_sent_to_a_zone_evacuated_meanwhile() -> None:
     """Guard against a call queued before the evacuation and sent after it."""
-    found = balancer(NEAR, FAR)
+    balancer = build_balancer(NEAR, FAR)
     busy = {}
     for _ in range(6):
-        call_id, actions = found.arrive(SERVICE, "GET", "/a", 0.0)
+        call_id, actions = balancer.arrive(SERVICE, "GET", "/a", 0.0)
         for send in sends(actions):
             busy[call_id] = send
     assert 0 < len(busy) < 6
     later: list[Send] = []
-    found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
+    balancer.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
     for call_id, send in busy.items():
         result = Result(call_id, send.attempt, "answered", 0.2)
-        later += sends(found.finish(result, 0.2))
+        later += sends(balancer.finish(result, 0.2))
     assert {one.endpoint for one in later} == {"10.0.0.2:80"}
 
 
 def test_service_without_another_zone_refuses_at_once() -> None:
     """Guard against calls queued until an evacuation ends."""
-    found = balancer(NEAR, NEAR)
+    balancer = build_balancer(NEAR, NEAR)
     sent = 0
     for _ in range(8):
-        _, actions = found.arrive(SERVICE, "GET", "/a", 0.0)
+        _, actions = balancer.arrive(SERVICE, "GET", "/a", 0.0)
         sent += len(sends(actions))
     assert sent < 8
-    actions = found.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
+    actions = balancer.apply_evacuations(EvacuationUpdate(5, [NEAR]), 0.1)
     refused = [one for one in actions if isinstance(one, Refuse)]
     assert len(refused) == 8 - sent
     pauses = set()
     for number in range(8):
-        _, actions = found.arrive(SERVICE, "GET", "/a", 0.2 + number / 100)
+        _, actions = balancer.arrive(SERVICE, "GET", "/a", 0.2 + number / 100)
         (refusal,) = actions
         assert isinstance(refusal, Refuse)
         assert "evacuated" in refusal.reason
         pauses.add(refusal.retry_after_s)
     assert len(pauses) == 8
     assert min(pauses) >= 0.5
-    found.apply_evacuations(EvacuationUpdate(6, []), 1.0)
-    _, actions = found.arrive(SERVICE, "GET", "/a", 1.0)
+    balancer.apply_evacuations(EvacuationUpdate(6, []), 1.0)
+    _, actions = balancer.arrive(SERVICE, "GET", "/a", 1.0)
     assert not [one for one in actions if isinstance(one, Refuse)]
 
 
 def test_older_update_is_ignored() -> None:
     """Guard against a replica that resumes with an outdated list."""
-    found = balancer(NEAR, FAR)
-    found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
-    found.apply_evacuations(EvacuationUpdate(5, []), 0.1)
-    found.update_upstreams([endpoint(1, NEAR), endpoint(2, FAR)], 0.2)
-    _, actions = found.arrive(SERVICE, "GET", "/a", 0.3)
+    balancer = build_balancer(NEAR, FAR)
+    balancer.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
+    balancer.apply_evacuations(EvacuationUpdate(5, []), 0.1)
+    balancer.update_upstreams([endpoint(1, NEAR), endpoint(2, FAR)], 0.2)
+    _, actions = balancer.arrive(SERVICE, "GET", "/a", 0.3)
     assert [one.endpoint for one in sends(actions)] == ["10.0.0.2:80"]
 
 
 def test_evacuations_apply_to_a_service_declared_later() -> None:
     """Guard against a configuration change that ends an evacuation."""
-    found = balancer(NEAR, FAR)
-    found.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
-    found.configure({}, 0.1)
+    balancer = build_balancer(NEAR, FAR)
+    balancer.apply_evacuations(EvacuationUpdate(7, [NEAR]), 0.0)
+    balancer.configure({}, 0.1)
     document = team(**{SERVICE: [rule()]})
-    found.configure(read_services({"lending": document}), 0.2)
-    found.update_upstreams([endpoint(1, NEAR), endpoint(2, FAR)], 0.2)
-    _, actions = found.arrive(SERVICE, "GET", "/a", 0.3)
+    balancer.configure(read_services({"lending": document}), 0.2)
+    balancer.update_upstreams([endpoint(1, NEAR), endpoint(2, FAR)], 0.2)
+    _, actions = balancer.arrive(SERVICE, "GET", "/a", 0.3)
     assert [one.endpoint for one in sends(actions)] == ["10.0.0.2:80"]
 
 
