--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -75,8 +75,8 @@
         """Return whether all peers answered or SETTLE_S has passed."""
         if now - self._started_at >= SETTLE_S:
             return True
-        answered, asked = self.peers.count_answered(now)
-        return asked > 0 and answered == asked
+        answered, counted = self.peers.count_answered(now)
+        return counted > 0 and answered == counted
 
     def is_caught_up(self, now: float) -> bool:
         """Return whether at least half of the peers have answered.
@@ -84,8 +84,8 @@
         Together with this replica they are a majority, so that it holds
         what most replicas know.
         """
-        answered, asked = self.peers.count_answered(now)
-        return 2 * answered >= asked
+        answered, counted = self.peers.count_answered(now)
+        return 2 * answered >= counted
 
     def record_watch(self, request: WatchRequest, now: float) -> None:
         """Record an entry's watch request in its session."""
--- a/packages/core/nutmegchute_core/members.py
+++ b/packages/core/nutmegchute_core/members.py
@@ -23,6 +23,7 @@
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 NAME_PATTERN = "^[a-z][a-z0-9-]*$"
 
+# A service's name and the address of one of its endpoints.
 Key = tuple[str, str]
 # An instance's name and incarnation: one start of one endpoint.
 Process = tuple[str, int]
@@ -36,8 +37,8 @@
     ``incarnation`` rises at every start of the endpoint, so that newer
     announcements supersede those of an earlier process at the same address
     or of the same instance. ``instance`` names the endpoint where several
-    use one address in turn; ``cold_s`` is for how many seconds more it is
-    slow after its start.
+    use one address in turn; ``cold_s`` is the remaining time during which
+    it is slow after its start.
     """
 
     service: Annotated[str, msgspec.Meta(pattern=NAME_PATTERN, max_length=63)]
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -161,7 +161,7 @@
         """Return whether this process was suspended since the last check.
 
         All peers seem silent after a suspension, and the next drain would be
-        acknowledged without their entries. So their timeouts start anew.
+        acknowledged without their entries. So their timeouts restart.
         """
         paused = now - self._checked_at > PAUSE_S
         self._checked_at = now
@@ -259,16 +259,16 @@
         from the tree on which the remaining replicas agree.
         """
         answered = 0
-        asked = 0
+        counted = 0
         for address, peer in self._peers.items():
             if self._is_gone(address, now):
                 continue
-            asked += 1
+            counted += 1
             answered += peer.last_answer_at is not None
-        return answered, asked
+        return answered, counted
 
     def mirrors(self, now: float) -> dict[str, Mirror]:
-        """Map the replicas heard within MIRROR_TTL_S to their mirrors."""
+        """Map the replicas not silent for MIRROR_TTL_S to their mirrors."""
         found = {}
         for address, peer in self._peers.items():
             if now - peer.last_message_at <= MIRROR_TTL_S:
@@ -325,7 +325,7 @@
         """Return whether a replica is gone and thus has no entries.
 
         A replica that is unreachable from this one alone may have entries.
-        It is not gone as long as another reachable replica hears it.
+        It is not gone while another reachable replica receives its messages.
         """
         if now - self._peers[address].last_message_at <= GONE_AFTER_S:
             return False
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -47,7 +47,7 @@
 CONTACT_TICK_S = 0.1
 COMMIT_S = 0.005
 ACKNOWLEDGE_S = 1.0
-MOST_TRIES = 60
+MAX_TRIES = 60
 
 
 class Tree:
@@ -180,7 +180,7 @@
 
     def __init__(self, number: int, zone: str, cluster: "Cluster") -> None:
         self.name = f"i-{number}"
-        self.left_at: float | None = None
+        self.drained_at: float | None = None
         self._number = number
         self._zone = zone
         self._cluster = cluster
@@ -194,12 +194,12 @@
             await self._announce()
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Announce the drain until it is acknowledged."""
         self._state = DRAINING
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_TRIES):
             if await self._announce():
-                self.left_at = asyncio.get_running_loop().time()
+                self.drained_at = asyncio.get_running_loop().time()
                 return
 
     async def _announce(self) -> bool:
@@ -216,9 +216,11 @@
         replicas = self._cluster.replicas
         replica = replicas[self._place % len(replicas)]
         if not self._cluster.is_frozen(replica.address):
-            taking = replica.registrar.announce(announcement, self._sequence)
+            acknowledging = replica.registrar.announce(
+                announcement, self._sequence
+            )
             try:
-                await asyncio.wait_for(taking, ACKNOWLEDGE_S)
+                await asyncio.wait_for(acknowledging, ACKNOWLEDGE_S)
                 return True
             except (NotConfirmedError, TimeoutError):
                 pass
@@ -321,7 +323,7 @@
                 replica.commit(self.index)
         return self.index
 
-    def check_left(self, endpoint: Endpoint, entries: list[Entry]) -> None:
+    def check_drained(self, endpoint: Endpoint, entries: list[Entry]) -> None:
         """Assert that no given entry still has an endpoint as up."""
         for entry in entries:
             assert entry.states().get(endpoint.name) != UP, entry.name
@@ -402,9 +404,9 @@
     async def scenario(cluster: Cluster) -> None:
         await cluster.start(4.0)
         endpoint = cluster.endpoints[place]
-        await endpoint.leave()
-        assert endpoint.left_at is not None
-        cluster.check_left(endpoint, cluster.entries)
+        await endpoint.drain()
+        assert endpoint.drained_at is not None
+        cluster.check_drained(endpoint, cluster.entries)
 
     run_scenario(small, scenario)
 
@@ -423,20 +425,20 @@
         frozen = cluster.replicas[place]
         cluster.freeze(frozen.address)
         endpoint = cluster.endpoints[(place + 1) % 5]
-        await endpoint.leave()
-        assert endpoint.left_at is not None
-        cluster.check_left(endpoint, cluster.entries)
+        await endpoint.drain()
+        assert endpoint.drained_at is not None
+        cluster.check_drained(endpoint, cluster.entries)
         await asyncio.sleep(2.0)
         # The thawed replica is stale; no entry may return to it before it
         # has caught up.
         cluster.heal()
         other = cluster.endpoints[5 + (place + 1) % 5]
-        await other.leave()
+        await other.drain()
         for _ in range(40):
             await asyncio.sleep(0.1)
-            cluster.check_left(endpoint, cluster.entries)
-            if other.left_at is not None:
-                cluster.check_left(other, cluster.entries)
+            cluster.check_drained(endpoint, cluster.entries)
+            if other.drained_at is not None:
+                cluster.check_drained(other, cluster.entries)
 
     run_scenario(small, scenario)
 
@@ -459,7 +461,7 @@
             "desk", "10.9.0.1:80", "zone-1", 3, 0, DRAINING, "i-1"
         )
         await cluster.replicas[1].registrar.announce(announcement, 10_000)
-        cluster.check_left(cluster.endpoints[1], cluster.entries[1:])
+        cluster.check_drained(cluster.endpoints[1], cluster.entries[1:])
 
     run_scenario(small, scenario)
 
@@ -482,9 +484,9 @@
         with pytest.raises(NotConfirmedError):
             await first.registrar.announce(announcement, 10_000)
         endpoint = cluster.endpoints[0]
-        await endpoint.leave()
-        assert endpoint.left_at is not None
-        cluster.check_left(endpoint, cluster.entries)
+        await endpoint.drain()
+        assert endpoint.drained_at is not None
+        cluster.check_drained(endpoint, cluster.entries)
 
     run_scenario(small, scenario)
 
@@ -567,7 +569,7 @@
             if random.random() < 0.05 and len(remaining) > 3:
                 endpoint = remaining.pop(random.randrange(len(remaining)))
                 draining.append(endpoint)
-                tasks.append(asyncio.ensure_future(endpoint.leave()))
+                tasks.append(asyncio.ensure_future(endpoint.drain()))
             if random.random() < 0.1:
                 changes.append((now, await cluster.change()))
             for entry in cluster.entries:
@@ -578,9 +580,9 @@
                 if now - accepted_at > BOUND_S:
                     assert min(one.index for one in cluster.entries) >= index
             for endpoint in draining:
-                left_at = endpoint.left_at
-                if left_at is not None and now - left_at > BOUND_S:
-                    cluster.check_left(endpoint, cluster.entries)
+                drained_at = endpoint.drained_at
+                if drained_at is not None and now - drained_at > BOUND_S:
+                    cluster.check_drained(endpoint, cluster.entries)
         cluster.heal()
         await asyncio.gather(*tasks)
         await asyncio.sleep(6.0)
@@ -663,9 +665,9 @@
         assert cluster.network.messages < 2 * 312 * (30 / 0.8 + 40)
         endpoint = cluster.endpoints[7]
         before = cluster.network.messages
-        await endpoint.leave()
-        assert endpoint.left_at is not None
-        cluster.check_left(endpoint, cluster.entries)
+        await endpoint.drain()
+        assert endpoint.drained_at is not None
+        cluster.check_drained(endpoint, cluster.entries)
         assert cluster.network.messages - before < 312 * 6
 
     run_scenario(large, scenario)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -26,9 +26,8 @@
     """Serve entries while two of four replicas are gone for good.
 
     One was replaced and is still listed, another has lost its disk; the two
-    that remain agree. If they waited for the others, they would tell entries
-    for ever that they may be behind the majority, and every call would be
-    refused.
+    that remain agree. If they waited for the others, their replies
+    would stay marked as stale for ever, and every call would be refused.
     """
     discovery = start()
     discovery.apply_reply(OTHERS[0], reply(), 0.1)
--- a/tests/test_replica_choosers.py
+++ b/tests/test_replica_choosers.py
@@ -72,13 +72,13 @@
 def test_all_replicas_are_tried_in_turn_while_all_fail() -> None:
     """Retry each replica in turn while all of them are down."""
     found = build_chooser()
-    asked = []
+    chosen = []
     for number in range(6):
         address = found.choose(1.0 + number / 10)
         found.record_failure(address, 1.0 + number / 10)
-        asked.append(address)
-    assert asked[:3] == asked[3:]
-    assert len(set(asked)) == 3
+        chosen.append(address)
+    assert chosen[:3] == chosen[3:]
+    assert len(set(chosen)) == 3
 
 
 def test_entries_of_a_zone_without_replica_are_spread() -> None:
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -370,13 +370,13 @@
 
     def exchange(self, one: str, other: str, answered: bool = True) -> None:
         """Exchange messages of two entries; keep copies to deliver late."""
-        asked = self.entries[one].build_message(other, self.clock(one))
-        self.deliver(other, one, asked)
+        request = self.entries[one].build_message(other, self.clock(one))
+        self.deliver(other, one, request)
         answer = self.entries[other].build_message(one, self.clock(other))
         if answered:
             self.deliver(one, other, answer)
         if len(self.late) < 24:
-            self.late.append(lambda: self.deliver(other, one, asked))
+            self.late.append(lambda: self.deliver(other, one, request))
             self.late.append(lambda: self.deliver(one, other, answer))
 
     def deliver(self, to: str, source: str, message: GossipMessage) -> None:
@@ -426,7 +426,7 @@
 
     @rule(pair=st.sets(st.sampled_from(ENTRIES), min_size=2, max_size=2))
     def cut_link(self, pair: set[str]) -> None:
-        """Cut the link of two entries, or mend it."""
+        """Cut the link of two entries, or restore it."""
         self.cut ^= {frozenset(pair)}
         self.calm_since = self.now
 
