--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -607,7 +607,7 @@
         for replica in self.replicas.values():
             replica.frozen_until = 0.0
             replica.disk.full = False
-            replica.disk.cut_in = None
+            replica.disk.power_cut_after = None
             if not replica.up:
                 replica.start()
 
--- a/tests/test_admissions.py
+++ b/tests/test_admissions.py
@@ -6,9 +6,9 @@
 from nutmegchute_core.memberships import Membership
 
 
-def member(name: str, run: int = 1, voter: bool = True) -> Member:
+def member(name: str, boot: int = 1, voter: bool = True) -> Member:
     """Build a replica; each run has another identity."""
-    return Member(f"{name}.{run}", name, f"{name}:1", voter=voter)
+    return Member(f"{name}.{boot}", name, f"{name}:1", voter=voter)
 
 
 THREE = Membership([member("a"), member("b"), member("c")])
--- a/tests/test_nodes.py
+++ b/tests/test_nodes.py
@@ -22,8 +22,8 @@
 from support import team
 
 ENTRIES = 3
-STORMS = 20
-PICK = st.integers(0, 6)
+STORM_SEEDS = 20
+REPLICA_NUMBERS = st.integers(0, 6)
 
 
 class Group(RuleBasedStateMachine):
@@ -52,7 +52,7 @@
         """Let time pass."""
         self.cluster.run(seconds)
 
-    @rule(number=PICK, both=st.booleans(), outwards=st.booleans())
+    @rule(number=REPLICA_NUMBERS, both=st.booleans(), outwards=st.booleans())
     def isolate(self, number: int, both: bool, outwards: bool) -> None:
         """Cut a replica off, silently, in one direction or both."""
         name = self.pick(number).name
@@ -63,7 +63,7 @@
             if both or not outwards:
                 self.cluster.partitions.add((other, name))
 
-    @rule(number=PICK, other=PICK)
+    @rule(number=REPLICA_NUMBERS, other=REPLICA_NUMBERS)
     def cut(self, number: int, other: int) -> None:
         """Cut one direction between two replicas."""
         pair = (self.pick(number).name, self.pick(other).name)
@@ -74,17 +74,17 @@
         """Make the network whole."""
         self.cluster.partitions = set()
 
-    @rule(number=PICK, seconds=st.sampled_from([0.5, 1.5, 5.0]))
+    @rule(number=REPLICA_NUMBERS, seconds=st.sampled_from([0.5, 1.5, 5.0]))
     def freeze(self, number: int, seconds: float) -> None:
         """Stop a process without a word; it does not notice."""
         self.pick(number).frozen_until = self.cluster.now + seconds
 
-    @rule(number=PICK, operations=st.integers(1, 12))
+    @rule(number=REPLICA_NUMBERS, operations=st.integers(1, 12))
     def cut_power(self, number: int, operations: int) -> None:
         """Kill a replica at one of its next writes or syncs."""
-        self.pick(number).disk.cut_in = operations
+        self.pick(number).disk.power_cut_after = operations
 
-    @rule(number=PICK)
+    @rule(number=REPLICA_NUMBERS)
     def kill(self, number: int) -> None:
         """Kill a replica now."""
         self.pick(number).kill()
@@ -103,21 +103,21 @@
             if not replica.up:
                 replica.start()
 
-    @rule(number=PICK, full=st.booleans())
+    @rule(number=REPLICA_NUMBERS, full=st.booleans())
     def fill_disk(self, number: int, full: bool) -> None:
         """Fill a disk or make room on it."""
         self.pick(number).disk.full = full
 
     @precondition(lambda self: self.lost is None)
-    @rule(number=PICK)
+    @rule(number=REPLICA_NUMBERS)
     def lose_disk(self, number: int) -> None:
         """Lose a disk; the replica returns with an empty one."""
-        if not self.cluster.run_until(self.whole, 4.0):
+        if not self.cluster.run_until(self.is_healthy, 4.0):
             return
         replica = self.pick(number)
         self.lost = replica.name
         replica.kill()
-        replica.disk.lose()
+        replica.disk.wipe()
         replica.start()
 
     @rule()
@@ -129,15 +129,15 @@
         leader = self.cluster.leader()
         if leader is not None and self.lost is not None:
             leader.replace(self.lost)
-            self.cluster.run_until(self.whole, 3.0)
-        if self.whole():
+            self.cluster.run_until(self.is_healthy, 3.0)
+        if self.is_healthy():
             self.lost = None
 
     @rule()
     def recover(self) -> None:
         """End all faults for a while."""
         self.cluster.heal()
-        self.cluster.run_until(self.whole, 6.0)
+        self.cluster.run_until(self.is_healthy, 6.0)
 
     @rule(seed=st.integers(0, 2**16), steps=st.sampled_from([10, 40]))
     def storm(self, seed: int, steps: int) -> None:
@@ -187,7 +187,7 @@
         if self.changes:
             self.send(self.changes[number % len(self.changes)])
 
-    @rule(count=st.sampled_from([20, 60]), number=PICK)
+    @rule(count=st.sampled_from([20, 60]), number=REPLICA_NUMBERS)
     def burst(self, count: int, number: int) -> None:
         """Make many changes, then restart a replica."""
         for _ in range(count):
@@ -211,18 +211,18 @@
         cluster.run(4.0)
         for _ in range(20):
             self.repair()
-            if self.lost is None and self.agreed():
+            if self.lost is None and self.has_converged():
                 break
             cluster.run(1.0)
         assert self.lost is None
-        assert self.agreed()
+        assert self.has_converged()
         final = cluster.oracle.replay()
         for replica in cluster.replicas.values():
             assert replica.node is not None
             tree = replica.node.machine.tree
             assert tree.snapshot() == final.tree.snapshot()
 
-    def whole(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether every replica is there and votes.
 
         One that only learns yet does not count: a disk lost before its
@@ -245,7 +245,7 @@
         }
         return voters == present and len(voters) == self.size
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Tell whether every replica has applied the whole list."""
         last = max(self.cluster.oracle.entries, default=0)
         applied = {
@@ -275,12 +275,12 @@
 
     def send(self, change: Change) -> None:
         """Send a change to some replica that believes to lead."""
-        believers = [
+        leaders = [
             one for one in self.cluster.replicas.values() if one.is_leader
         ]
-        if not believers:
+        if not leaders:
             return
-        replica = self.cluster.random.choice(believers)
+        replica = self.cluster.random.choice(leaders)
         if not replica.is_running():
             return
         try:
@@ -308,7 +308,7 @@
     list explains every answer that was given, every replica holds it, and
     no entry with a lease ever acted on less than what was in force.
     """
-    shrink(monkeypatch)
+    use_small_limits(monkeypatch)
     run_state_machine_as_test(
         group,
         settings=settings(
@@ -322,7 +322,7 @@
 
 
 @pytest.mark.parametrize("group", [Group, GroupOfFive])
-@pytest.mark.parametrize("seed", range(STORMS))
+@pytest.mark.parametrize("seed", range(STORM_SEEDS))
 def test_long_storms_break_no_promise(
     group: type[Group], seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -331,14 +331,14 @@
     The same rules as above, chosen by a seed: lost disks, repairs and the
     loss of a second replica need more steps than hypothesis draws.
     """
-    shrink(monkeypatch)
+    use_small_limits(monkeypatch)
     machine = group()
     machine.begin(seed)
     machine.storm(seed, 80)
     machine.teardown()
 
 
-def shrink(monkeypatch: pytest.MonkeyPatch) -> None:
+def use_small_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     """Make snapshots, trails and pieces small, so that they come often."""
     values: list[tuple[Any, str, int]] = [
         (nodes, "SNAPSHOT_ENTRIES", 30),
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -60,7 +60,7 @@
         return leader
 
 
-def ready(cluster: SimulatedCluster) -> bool:
+def is_ready(cluster: SimulatedCluster) -> bool:
     """Tell whether a leader knows all that was committed."""
     leader = cluster.leader()
     if leader is None or leader.node is None:
@@ -69,22 +69,26 @@
 
 
 def lose_disks_and_power(
-    cluster: SimulatedCluster, lost: list[FakeReplica], gone: list[FakeReplica]
+    cluster: SimulatedCluster,
+    lost: list[FakeReplica],
+    removed: list[FakeReplica],
 ) -> None:
     """Lose all power and some disks; all but those gone return."""
     for replica in cluster.replicas.values():
         replica.kill()
     for replica in lost:
-        replica.disk.lose()
+        replica.disk.wipe()
     cluster.run(DOWN_S)
     for replica in cluster.replicas.values():
-        if replica not in gone:
+        if replica not in removed:
             replica.start()
 
 
 def check_recovered(cluster: SimulatedCluster, accepted: int) -> None:
     """Find a leader soon that knows every accepted change."""
-    assert cluster.run_until(lambda: ready(cluster), RECOVERY_S), "none leads"
+    assert cluster.run_until(lambda: is_ready(cluster), RECOVERY_S), (
+        "none leads"
+    )
     leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
@@ -113,16 +117,16 @@
         44.32 NC2020 granted core-faisalabad-2, core-gujranwala-1
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     operator = Operator(cluster)
     operator.change()
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
-    gone = cluster.replicas[cluster.names[seed % 3]]
-    gone.stop()
+    removed = cluster.replicas[cluster.names[seed % 3]]
+    removed.stop()
     cluster.run(after_s)
     lost = operator.change()
-    lose_disks_and_power(cluster, [lost], [gone])
+    lose_disks_and_power(cluster, [lost], [removed])
     check_recovered(cluster, operator.accepted)
 
 
@@ -139,12 +143,12 @@
         33.64 NC2004 replica "core-faisalabad-1" (core-lahore-1)
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     operator = Operator(cluster)
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
-    gone = cluster.replicas[cluster.names[seed % 3]]
-    gone.stop()
+    removed = cluster.replicas[cluster.names[seed % 3]]
+    removed.stop()
     cluster.run(12.0)
     leader = operator.change()
     leader.kill()
@@ -152,11 +156,11 @@
     leader.start()
     cluster.run(9.0)
     lost = operator.change()
-    lose_disks_and_power(cluster, [lost], [gone])
+    lose_disks_and_power(cluster, [lost], [removed])
     check_recovered(cluster, operator.accepted)
 
 
-def members(cluster: SimulatedCluster) -> set[str]:
+def member_names(cluster: SimulatedCluster) -> set[str]:
     """Name the members that the leader knows."""
     leader = cluster.leader()
     if leader is None or leader.node is None:
@@ -173,14 +177,14 @@
     successor.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     leader = cluster.leader()
     follower = next(
         one for one in cluster.replicas.values() if one is not leader
     )
     newcomer = cluster.add([follower.name])
     assert cluster.run_until(
-        lambda: newcomer.name in members(cluster), CATCH_UP_S
+        lambda: newcomer.name in member_names(cluster), CATCH_UP_S
     )
 
 
@@ -193,14 +197,18 @@
     one replica short.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
     away = cluster.replicas[cluster.names[seed % 3]]
     away.kill()
-    assert cluster.run_until(lambda: away.name not in members(cluster), 20.0)
+    assert cluster.run_until(
+        lambda: away.name not in member_names(cluster), 20.0
+    )
     away.start()
-    assert cluster.run_until(lambda: away.name in members(cluster), CATCH_UP_S)
+    assert cluster.run_until(
+        lambda: away.name in member_names(cluster), CATCH_UP_S
+    )
 
 
 def test_order_to_take_over_gets_lost() -> None:
@@ -212,20 +220,20 @@
     """
     cluster = SimulatedCluster(3, entries=0, seed=1, auto_membership=True)
     cluster.loss = 0.0
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     operator = Operator(cluster)
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
-    gone = cluster.leader()
-    assert gone is not None
-    partitions = {(gone.name, other) for other in cluster.replicas}
+    removed = cluster.leader()
+    assert removed is not None
+    partitions = {(removed.name, other) for other in cluster.replicas}
     cluster.partitions = set(partitions)
-    gone.stop()
+    removed.stop()
     cluster.run(0.1)
     cluster.partitions = set()
     cluster.run(1.5)
     lost = operator.change()
-    lose_disks_and_power(cluster, [lost], [gone])
+    lose_disks_and_power(cluster, [lost], [removed])
     check_recovered(cluster, operator.accepted)
 
 
@@ -239,7 +247,7 @@
     loss would stop all changes.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
-    assert cluster.run_until(lambda: ready(cluster), 5.0)
+    assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     last = cluster.replicas[cluster.names[1]]
     for name in (cluster.names[0], cluster.names[2]):
         cluster.add(cluster.names)
@@ -258,7 +266,7 @@
     assert cluster.leader() is last
     lost = last.node.replica.identity
     last.kill()
-    last.disk.lose()
+    last.disk.wipe()
     cluster.run(VM_BACK_S)
     last.start()
 
@@ -273,7 +281,7 @@
     assert cluster.run_until(votes, CATCH_UP_S)
 
 
-class Series:
+class FaultSequence:
     """Take replicas away and bring others, as many at once as are borne."""
 
     def __init__(self, size: int, seed: int) -> None:
@@ -282,12 +290,12 @@
             size, entries=0, seed=seed, auto_membership=True
         )
         self.operator = Operator(self.cluster)
-        self.gone: list[FakeReplica] = []
-        self._borne = size // 2
+        self.removed: list[FakeReplica] = []
+        self._max_failures = size // 2
 
     def run(self, steps: int) -> None:
         """Do things by chance; whoever returned is given time."""
-        assert self.cluster.run_until(lambda: ready(self.cluster), 5.0)
+        assert self.cluster.run_until(lambda: is_ready(self.cluster), 5.0)
         actions: list[Callable[[], None]] = [
             self.replace_planned,
             self.replace_lost,
@@ -304,72 +312,72 @@
             self.cluster.run(CATCH_UP_S)
             self.operator.change()
 
-    def there(self) -> list[FakeReplica]:
+    def present(self) -> list[FakeReplica]:
         """List the replicas that are not gone for good."""
         found = []
         for replica in self.cluster.replicas.values():
-            if replica not in self.gone:
+            if replica not in self.removed:
                 found.append(replica)
         return found
 
-    def victims(self) -> list[FakeReplica]:
+    def pick_failing(self) -> list[FakeReplica]:
         """Choose replicas that may be lost at the same time."""
-        count = self.random.randint(1, self._borne)
-        return self.random.sample(self.there(), count)
+        count = self.random.randint(1, self._max_failures)
+        return self.random.sample(self.present(), count)
 
     def add(self) -> None:
         """Start a vm with an empty disk that is told some members."""
-        names = [one.name for one in self.there()]
+        names = [one.name for one in self.present()]
         self.cluster.add(self.random.sample(names, min(3, len(names))))
 
     def replace_planned(self) -> None:
         """Start other vms first, then stop those that they replace."""
-        victims = self.victims()
-        for _ in victims:
+        failing = self.pick_failing()
+        for _ in failing:
             self.add()
         self.cluster.run(CATCH_UP_S)
-        for replica in victims:
+        for replica in failing:
             replica.stop()
-        self.gone += victims
+        self.removed += failing
 
     def replace_lost(self) -> None:
         """Lose vms for good; others come later."""
-        victims = self.victims()
-        for replica in victims:
+        failing = self.pick_failing()
+        for replica in failing:
             replica.kill()
-        self.gone += victims
+        self.removed += failing
         self.cluster.run(self.random.choice([1.0, 2.0, 8.0]))
-        for _ in victims:
+        for _ in failing:
             self.add()
 
     def lose_disks(self) -> None:
         """Lose disks with all that is on them."""
-        victims = self.victims()
-        for replica in victims:
+        failing = self.pick_failing()
+        for replica in failing:
             replica.kill()
-            replica.disk.lose()
+            replica.disk.wipe()
         self.cluster.run(self.random.choice([0.5, 3.0, 8.0]))
-        for replica in victims:
+        for replica in failing:
             replica.start()
 
     def restart(self) -> None:
         """Stop replicas, or kill them, and start them again."""
-        victims = self.victims()
+        failing = self.pick_failing()
         planned = self.random.random() < 0.5
-        for replica in victims:
+        for replica in failing:
             if planned:
                 replica.stop()
             else:
                 replica.kill()
         self.cluster.run(self.random.choice([1.5, 4.0, 9.0]))
-        for replica in victims:
+        for replica in failing:
             if replica.up:
                 replica.kill()
             replica.start()
 
     def roll(self) -> None:
         """Stop and start all in turn, without time between."""
-        for replica in self.there():
+        for replica in self.present():
             replica.stop()
             self.cluster.run(1.5)
             if replica.up:
@@ -378,26 +386,26 @@
 
     def freeze(self) -> None:
         """Let replicas stand still and wake again."""
-        for replica in self.victims():
+        for replica in self.pick_failing():
             replica.frozen_until = self.cluster.now + 6.0
         self.cluster.run(6.0)
 
     def isolate(self) -> None:
         """Cut replicas off from all others and join them again."""
-        self.cut(self.victims())
+        self.cut(self.pick_failing())
         self.cluster.run(self.random.choice([2.0, 9.0]))
         self.cluster.partitions = set()
 
     def leave_behind(self) -> None:
         """Lose a disk where changes are known, and join who missed them."""
-        behind = self.victims()
-        self.cut(behind)
+        cut_off = self.pick_failing()
+        self.cut(cut_off)
         self.cluster.run(self.random.choice([2.0, 6.0]))
         self.operator.change()
-        others = [one for one in self.there() if one not in behind]
+        others = [one for one in self.present() if one not in cut_off]
         for replica in others:
             replica.kill()
-        others[0].disk.lose()
+        others[0].disk.wipe()
         self.cluster.partitions = set()
         self.cluster.run(self.random.choice([0.5, 3.0]))
         for replica in others:
@@ -405,16 +413,16 @@
 
     def restart_behind_a_cut(self) -> None:
         """Restart replicas that are cut off, and later all others."""
-        behind = self.victims()
-        self.cut(behind)
+        cut_off = self.pick_failing()
+        self.cut(cut_off)
         self.cluster.run(self.random.choice([2.0, 7.0]))
-        for replica in behind:
+        for replica in cut_off:
             replica.kill()
             replica.start()
         self.cluster.run(2.0)
         self.cluster.partitions = set()
-        for replica in self.there():
-            if replica not in behind:
+        for replica in self.present():
+            if replica not in cut_off:
                 replica.kill()
                 replica.start()
 
@@ -436,8 +444,8 @@
     and all power are lost: callers must be served again, by a group that
     knows every accepted change.
     """
-    series = Series(size, seed)
-    series.run(8)
-    lost = series.victims()
-    lose_disks_and_power(series.cluster, lost, series.gone)
-    check_recovered(series.cluster, series.operator.accepted)
+    sequence = FaultSequence(size, seed)
+    sequence.run(8)
+    lost = sequence.pick_failing()
+    lose_disks_and_power(sequence.cluster, lost, sequence.removed)
+    check_recovered(sequence.cluster, sequence.operator.accepted)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -39,9 +39,11 @@
     )
 
 
-def settle(cluster: SimulatedCluster, most: float = 20.0) -> None:
+def wait_until_ready(
+    cluster: SimulatedCluster, timeout_s: float = 20.0
+) -> None:
     """Wait until a leader has committed in its own term."""
-    assert cluster.run_until(lambda: _ready(cluster), most)
+    assert cluster.run_until(lambda: _ready(cluster), timeout_s)
 
 
 def _ready(cluster: SimulatedCluster) -> bool:
@@ -67,7 +69,7 @@
 def test_group_forms_and_accepts(size: int) -> None:
     """Replicas with empty disks form one group and accept a change."""
     cluster = SimulatedCluster(size, entries=2, seed=size)
-    settle(cluster)
+    wait_until_ready(cluster)
     accept(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
 
@@ -81,13 +83,13 @@
     without a configuration for a third of a second longer.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed)
-    settle(cluster)
+    wait_until_ready(cluster)
     for replica in cluster.replicas.values():
         replica.kill()
     cluster.run(1.0)
     for replica in cluster.replicas.values():
         replica.start()
-    settle(cluster, 0.25)
+    wait_until_ready(cluster, 0.25)
 
 
 def test_cut_leader_gives_up_and_the_rest_goes_on() -> None:
@@ -97,7 +99,7 @@
     is cut off, steps down without a quorum, and the others elect.
     """
     cluster = SimulatedCluster(3, entries=2, seed=1)
-    settle(cluster)
+    wait_until_ready(cluster)
     old = cluster.leader()
     assert old is not None
     for other in [*cluster.names, "entry-0", "entry-1"]:
@@ -119,7 +121,7 @@
     """
     cluster = SimulatedCluster(3, entries=0, seed=2)
     cluster.loss = 0.0
-    settle(cluster)
+    wait_until_ready(cluster)
     leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
@@ -141,13 +143,13 @@
     """
     cluster = SimulatedCluster(3, entries=0, seed=3)
     cluster.loss = 0.0
-    settle(cluster)
+    wait_until_ready(cluster)
     leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
     term = leader.node.replica.term
-    deaf = next(one for one in cluster.names if one != leader.name)
-    cluster.partitions = {(leader.name, deaf)}
+    isolated = next(one for one in cluster.names if one != leader.name)
+    cluster.partitions = {(leader.name, isolated)}
     cluster.run(10.0)
     assert cluster.leader() is leader
     assert leader.node.replica.term == term
@@ -161,7 +163,7 @@
     """
     cluster = SimulatedCluster(3, entries=0, seed=7)
     cluster.loss = 0.0
-    settle(cluster)
+    wait_until_ready(cluster)
     old = cluster.leader()
     assert old is not None
     assert old.node is not None
@@ -177,7 +179,7 @@
     """The order to take over arrives a term too late and is ignored."""
     cluster = SimulatedCluster(3, entries=0, seed=8)
     cluster.loss = 0.0
-    settle(cluster)
+    wait_until_ready(cluster)
     leader = cluster.leader()
     assert leader is not None
     assert leader.node is not None
@@ -200,7 +202,7 @@
     took its answer would act on a tree older than the one in force.
     """
     cluster = SimulatedCluster(3, entries=1, seed=4)
-    settle(cluster)
+    wait_until_ready(cluster)
     accept(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.entries[0].index > 0, 5.0)
     old = cluster.leader()
@@ -225,7 +227,7 @@
     new leader, which has never heard of that entry but through the log.
     """
     cluster = SimulatedCluster(3, entries=2, seed=5)
-    settle(cluster)
+    wait_until_ready(cluster)
     accept(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
     silent = cluster.entries[0]
@@ -239,7 +241,7 @@
         old = cluster.leader()
         assert old is not None
         old.kill()
-        settle(cluster)
+        wait_until_ready(cluster)
     before = cluster.in_force_index
     accept(cluster, "b", 1)
     assert silent.lease.has_lease(cluster.now)
@@ -255,7 +257,7 @@
     that has never heard of it says that a newer tree is in force.
     """
     cluster = SimulatedCluster(3, entries=1, seed=6)
-    settle(cluster)
+    wait_until_ready(cluster)
     accept(cluster, "a", 0)
     old = cluster.leader()
     assert old is not None
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -244,7 +244,7 @@
     while True:
         operations += 1
         disk = FakeDisk(seed * 1000 + operations)
-        disk.cut_in = operations
+        disk.power_cut_after = operations
         script = Script(disk)
         try:
             script.run()
@@ -308,10 +308,10 @@
     storage.keep_identity(Identity("r1"))
     storage.load(GENESIS)
     storage.save(HardState(1, None), ENTRIES)
-    disk.cut_in = 6
+    disk.power_cut_after = 6
     with pytest.raises(PowerCutError):
         storage.install(Snapshot(2, 5, GENESIS, b"leader's"))
-    disk.cut_in = None
+    disk.power_cut_after = None
     storage = Storage(disk)  # type: ignore[arg-type]
     stored = storage.load(GENESIS)
     assert (stored.snapshot.index, stored.snapshot.term) == (2, 5)
@@ -335,12 +335,12 @@
     storage = Storage(disk)  # type: ignore[arg-type]
     storage.load(GENESIS)
     storage.save(None, [LogEntry(2, 3, NoOp())])
-    disk.cut_in = operations
+    disk.power_cut_after = operations
     try:
         storage.compact(Snapshot(3, 2, GENESIS, b"own"))
     except PowerCutError:
         disk.crash()
-    disk.cut_in = None
+    disk.power_cut_after = None
     for _ in range(2):
         storage = Storage(disk)  # type: ignore[arg-type]
         storage.load(GENESIS)
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -13,14 +13,14 @@
     return Membership(members)
 
 
-def settle(
+def apply_changes(
     membership: Membership,
-    gone: str = "",
+    silent: str = "",
     caught_up: str = "",
     leaving: str = "",
 ) -> list[str]:
     """Change voters until nothing is due; list them after each step."""
-    silent_s = dict.fromkeys(gone, VOTER_TIMEOUT_S)
+    silent_s = dict.fromkeys(silent, VOTER_TIMEOUT_S)
     steps: list[str] = []
     while len(steps) < 9:
         after = next_voters(membership, silent_s, set(caught_up), set(leaving))
@@ -35,13 +35,13 @@
 
 def test_three_stay_three() -> None:
     """Change nothing while all are there, or one is silent."""
-    assert settle(group("abc")) == []
-    assert settle(group("abc"), gone="b") == []
+    assert apply_changes(group("abc")) == []
+    assert apply_changes(group("abc"), silent="b") == []
 
 
 def test_newcomer_only_learns() -> None:
     """Keep the fourth from voting: four bear no more than three."""
-    assert settle(group("abc", "d"), caught_up="d") == []
+    assert apply_changes(group("abc", "d"), caught_up="d") == []
 
 
 def test_newcomer_takes_the_vote_of_a_lost_one() -> None:
@@ -50,21 +50,24 @@
     Were the newcomer lost as well in between, the two that are left are
     all that is needed.
     """
-    steps = settle(group("abc", "d"), gone="b", caught_up="d")
+    steps = apply_changes(group("abc", "d"), silent="b", caught_up="d")
     assert steps == ["ac", "acd"]
-    assert settle(group("abc", "d"), gone="b") == []
+    assert apply_changes(group("abc", "d"), silent="b") == []
 
 
 def test_newcomer_takes_the_vote_of_one_that_stops() -> None:
     """Exchange the votes, the newcomer's first: the old one still works."""
-    steps = settle(group("abc", "d"), caught_up="d", leaving="a")
+    steps = apply_changes(group("abc", "d"), caught_up="d", leaving="a")
     assert steps == ["abcd", "bcd"]
-    assert settle(group("abc"), leaving="a") == []
+    assert apply_changes(group("abc"), leaving="a") == []
 
 
 def test_two_newcomers_vote() -> None:
     """Let a group grow by two, so that it bears one loss more."""
-    assert settle(group("abc", "de"), caught_up="de") == ["abcd", "abcde"]
+    assert apply_changes(group("abc", "de"), caught_up="de") == [
+        "abcd",
+        "abcde",
+    ]
 
 
 def test_group_shrinks_with_its_losses() -> None:
@@ -73,26 +76,26 @@
     Of five voters with two gone for good, one more lost disk leaves no
     majority; the three that remain bear it.
     """
-    assert settle(group("abcde"), gone="a") == ["bcde"]
-    assert settle(group("abcde"), gone="ab") == ["bcde", "cde"]
-    assert settle(group("abcde"), gone="abc") == ["bcde", "cde"]
+    assert apply_changes(group("abcde"), silent="a") == ["bcde"]
+    assert apply_changes(group("abcde"), silent="ab") == ["bcde", "cde"]
+    assert apply_changes(group("abcde"), silent="abc") == ["bcde", "cde"]
 
 
 def test_four_become_three_or_five() -> None:
     """Leave no group with an even number for longer than need be."""
-    assert settle(group("abcd"), gone="c") == ["abd"]
-    assert settle(group("abcd"), leaving="c") == ["abd"]
-    assert settle(group("abcd", "e"), caught_up="e") == ["abcde"]
+    assert apply_changes(group("abcd"), silent="c") == ["abd"]
+    assert apply_changes(group("abcd"), leaving="c") == ["abd"]
+    assert apply_changes(group("abcd", "e"), caught_up="e") == ["abcde"]
 
 
 def test_two_voters_are_not_made_one() -> None:
     """Keep two: a single one would decide alone, and lose all alone."""
-    assert settle(group("ab"), gone="b") == []
-    assert settle(group("ab"), leaving="b") == []
-    assert settle(group("ab", "c"), caught_up="c") == ["abc"]
+    assert apply_changes(group("ab"), silent="b") == []
+    assert apply_changes(group("ab"), leaving="b") == []
+    assert apply_changes(group("ab", "c"), caught_up="c") == ["abc"]
 
 
 def test_returned_replica_votes_again() -> None:
     """Let one that was only slow take the place that became free."""
-    assert settle(group("bcde", "a"), caught_up="a") == ["abcde"]
-    assert settle(group("acd", "b"), caught_up="b") == []
+    assert apply_changes(group("bcde", "a"), caught_up="a") == ["abcde"]
+    assert apply_changes(group("acd", "b"), caught_up="b") == []
