--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -1,4 +1,4 @@
-"""Keep suspects apart on one entry."""
+"""Test how one entry holds and releases the calls of suspects."""
 
 from random import Random
 
@@ -30,8 +30,8 @@
 RULE = Rule({"name": "look", "idempotent": True, "deadline_ms": 2000})
 
 
-class Entry:
-    """Ask an isolation about calls, and answer for control."""
+class Harness:
+    """Drive an isolation with calls and updates from control."""
 
     def __init__(self) -> None:
         self.timers = Timers()
@@ -43,112 +43,114 @@
         self._calls += 1
         return Call(self._calls, DESK, RULE, 0.0, DEADLINE_S, fingerprint=name)
 
-    def told(self, index: int, state: str) -> list[Release]:
-        """Tell the state of the bad request."""
-        news = QuarantineUpdate(0, index, [CaseUpdate(DESK, BAD, state, 60.0)])
-        return self.isolation.apply_update(news, 0.0)
+    def apply_state(self, index: int, state: str) -> list[Release]:
+        """Apply an update with the state of the bad request."""
+        update = QuarantineUpdate(
+            0, index, [CaseUpdate(DESK, BAD, state, 60.0)]
+        )
+        return self.isolation.apply_update(update, 0.0)
 
-    def held(self) -> tuple[Call, TrialRequest]:
-        """Hold a call and return what it asks of control."""
+    def hold_call(self) -> tuple[Call, TrialRequest]:
+        """Hold a call and return it with its trial request."""
         call = self.call()
         assert self.isolation.hold(call, 0.0)
         request = self.isolation.drain_reports()[-1]
         assert isinstance(request, TrialRequest)
         return call, request
 
-    def sent(self, name: str = BAD) -> Call:
-        """Build a call that was sent once."""
+    def sent_call(self, name: str = BAD) -> Call:
+        """Build a call that has been sent once."""
         call = self.call(name)
         call.record_send("10.0.0.1:80", 0.0)
         return call
 
-    def end(
+    def finish(
         self, call: Call, outcome: str, crashed: bool = False
     ) -> list[Release]:
-        """End the attempt of a call."""
+        """Finish the attempt of a call."""
         result = Result(call.call_id, 1, outcome, 0.1, crashed=crashed)
         return self.isolation.finish_attempt(call, result, "i-1#0", 0.1)
 
 
-def test_no_crash_no_suspect() -> None:
-    """Let calls go, and tell control nothing, while nothing crashes."""
-    entry = Entry()
-    call = entry.sent()
-    assert entry.isolation.check(call, 0.0).outcome == FREE
-    entry.end(call, LOST)
-    entry.end(entry.sent(), ANSWERED)
-    assert entry.isolation.check(call, 0.0).outcome == FREE
-    assert entry.isolation.drain_reports() == []
-
-
-def test_crash_makes_a_suspect_before_control_says_so() -> None:
-    """Guard against a retry that is sent before control has answered."""
-    entry = Entry()
-    call = entry.sent()
-    entry.end(call, LOST, crashed=True)
-    assert entry.isolation.check(call, 0.1).outcome == WAIT
-    reports = entry.isolation.drain_reports()
+def test_calls_are_free_without_crashes() -> None:
+    """Send calls without reports to control while nothing crashes."""
+    harness = Harness()
+    call = harness.sent_call()
+    assert harness.isolation.check(call, 0.0).outcome == FREE
+    harness.finish(call, LOST)
+    harness.finish(harness.sent_call(), ANSWERED)
+    assert harness.isolation.check(call, 0.0).outcome == FREE
+    assert harness.isolation.drain_reports() == []
+
+
+def test_crash_makes_a_suspect_before_control_replies() -> None:
+    """Guard against a retry that is sent before control replies."""
+    harness = Harness()
+    call = harness.sent_call()
+    harness.finish(call, LOST, crashed=True)
+    assert harness.isolation.check(call, 0.1).outcome == WAIT
+    reports = harness.isolation.drain_reports()
     assert reports == [Crash(DESK, BAD, "i-1#0", 0, 0.1)]
-    entry.end(entry.sent(), ANSWERED)
-    assert entry.isolation.check(call, 0.1).outcome == FREE
-    assert entry.isolation.drain_reports() == [Acquittal(DESK, BAD)]
-
-
-def test_one_call_of_a_suspect_asks() -> None:
-    """Guard against a question for each call of a popular request."""
-    entry = Entry()
-    entry.told(1, SUSPECT)
-    first, request = entry.held()
-    others = [entry.call() for _ in range(MAX_HELD - 1)]
-    assert all(entry.isolation.hold(one, 0.0) for one in others)
-    assert not entry.isolation.hold(entry.call(), 0.0)
-    assert entry.isolation.drain_reports() == []
-    releases = entry.isolation.apply_ruling(request, Ruling(TRY), 0.0)
+    harness.finish(harness.sent_call(), ANSWERED)
+    assert harness.isolation.check(call, 0.1).outcome == FREE
+    assert harness.isolation.drain_reports() == [Acquittal(DESK, BAD)]
+
+
+def test_one_call_of_a_suspect_requests_a_trial() -> None:
+    """Guard against a trial request for each call of a frequent request."""
+    harness = Harness()
+    harness.apply_state(1, SUSPECT)
+    first, request = harness.hold_call()
+    others = [harness.call() for _ in range(MAX_HELD - 1)]
+    assert all(harness.isolation.hold(one, 0.0) for one in others)
+    assert not harness.isolation.hold(harness.call(), 0.0)
+    assert harness.isolation.drain_reports() == []
+    releases = harness.isolation.apply_ruling(request, Ruling(TRY), 0.0)
     assert [one.call for one in releases] == [first]
     assert first.trial_token == request.token
     first.record_send("10.0.0.1:80", 0.0)
-    releases = entry.end(first, ANSWERED)
+    releases = harness.finish(first, ANSWERED)
     assert [one.call for one in releases] == others
 
 
-def test_verdict_refuses_those_that_wait() -> None:
-    """Refuse held calls as soon as control tells of the quarantine."""
-    entry = Entry()
-    entry.told(1, SUSPECT)
-    call, request = entry.held()
-    releases = entry.told(2, QUARANTINED)
+def test_quarantine_refuses_held_calls() -> None:
+    """Refuse held calls as soon as control reports the quarantine."""
+    harness = Harness()
+    harness.apply_state(1, SUSPECT)
+    call, request = harness.hold_call()
+    releases = harness.apply_state(2, QUARANTINED)
     assert [one.ruling.outcome for one in releases] == [QUARANTINED]
-    assert not entry.isolation.holds(call)
-    # The trial was granted meanwhile: its place is given back.
-    assert entry.isolation.apply_ruling(request, Ruling(TRY), 0.0) == []
+    assert not harness.isolation.holds(call)
+    # The trial was granted in the meantime and is returned unused.
+    assert harness.isolation.apply_ruling(request, Ruling(TRY), 0.0) == []
     end = TrialEnd(DESK, BAD, request.token, False)
-    assert entry.isolation.drain_reports() == [end]
-
-
-def test_call_that_ends_while_it_asks() -> None:
-    """Guard against a suspect that nobody asks about any more."""
-    entry = Entry()
-    entry.told(1, SUSPECT)
-    first, _ = entry.held()
-    second = entry.call()
-    entry.isolation.hold(second, 0.0)
-    entry.isolation.end_call(first, False)
-    due = entry.timers.pop_due(0.0)
+    assert harness.isolation.drain_reports() == [end]
+
+
+def test_next_call_requests_a_trial_if_the_first_ends() -> None:
+    """Guard against held calls for which nobody requests a trial."""
+    harness = Harness()
+    harness.apply_state(1, SUSPECT)
+    first, _ = harness.hold_call()
+    second = harness.call()
+    harness.isolation.hold(second, 0.0)
+    harness.isolation.end_call(first, False)
+    due = harness.timers.pop_due(0.0)
     assert due is not None
     assert due[1] == second.call_id
-    entry.isolation.request_trial(second.key, 0.0)
-    assert isinstance(entry.isolation.drain_reports()[-1], TrialRequest)
+    harness.isolation.request_trial(second.key, 0.0)
+    assert isinstance(harness.isolation.drain_reports()[-1], TrialRequest)
 
 
-def test_without_control_an_entry_stops_after_three() -> None:
-    """Guard against a suspect that is tried for ever without control."""
-    entry = Entry()
-    entry.end(entry.sent(), LOST, crashed=True)
+def test_entry_without_control_stops_after_three_crashes() -> None:
+    """Guard against endless trials of a suspect without control."""
+    harness = Harness()
+    harness.finish(harness.sent_call(), LOST, crashed=True)
     for _ in range(2):
-        call, request = entry.held()
-        assert entry.isolation.apply_ruling(request, None, 0.1)
+        call, request = harness.hold_call()
+        assert harness.isolation.apply_ruling(request, None, 0.1)
         call.record_send("10.0.0.1:80", 0.1)
-        entry.end(call, LOST, crashed=True)
-    _, request = entry.held()
-    releases = entry.isolation.apply_ruling(request, None, 0.1)
+        harness.finish(call, LOST, crashed=True)
+    _, request = harness.hold_call()
+    releases = harness.isolation.apply_ruling(request, None, 0.1)
     assert [one.ruling.outcome for one in releases] == [QUARANTINED]
--- a/tests/test_quarantines.py
+++ b/tests/test_quarantines.py
@@ -1,4 +1,4 @@
-"""Decide which requests crash endpoints, from reports alone."""
+"""Test which requests are quarantined, from reports alone."""
 
 import msgspec
 from nutmegchute_core.commands import Command
@@ -30,8 +30,8 @@
 LEFT_S = 2.0
 
 
-class Bench:
-    """Apply reports one by one."""
+class Harness:
+    """Apply reports to a quarantine one by one."""
 
     def __init__(self, quarantine: Quarantine | None = None) -> None:
         self.quarantine = quarantine or Quarantine()
@@ -40,7 +40,7 @@
         self._processes = 0
 
     def report(self, report: Report, after_s: float = 0.1) -> Ruling:
-        """Apply a report after some time."""
+        """Apply a report after the given time."""
         self._index += 1
         batch = QuarantineBatch(after_s, QuarantineRequest([report]))
         return self.quarantine.apply(self._index, batch).rulings[0]
@@ -53,32 +53,32 @@
         answered_before: bool = False,
         process: str = "",
     ) -> None:
-        """Report a crash of a process that did not crash before."""
+        """Report a crash, of a new process unless one is given."""
         self._processes += 1
         process = process or f"i-{self._processes}"
         self.report(
             Crash(DESK, name, process, trial, sent_ago_s, answered_before)
         )
 
-    def ask(self, name: str = BAD, after_s: float = 0.1) -> Ruling:
-        """Ask for a trial under a new token."""
+    def request_trial(self, name: str = BAD, after_s: float = 0.1) -> Ruling:
+        """Request a trial with a new token."""
         self._tokens += 1
         request = TrialRequest(DESK, name, self._tokens, LEFT_S)
         return self.report(request, after_s)
 
     def crash_on_trial(self, name: str = BAD) -> None:
-        """Let a trial crash an endpoint."""
-        assert self.ask(name).outcome == TRY
+        """Run a trial that crashes an endpoint."""
+        assert self.request_trial(name).outcome == TRY
         self.crash(name, self._tokens)
 
-    def convict(self, name: str = BAD) -> None:
-        """Crash three endpoints, two of them on trial."""
+    def quarantine_request(self, name: str = BAD) -> None:
+        """Crash three endpoints, two of them on trial, for a quarantine."""
         self.crash(name)
         self.crash_on_trial(name)
         self.crash_on_trial(name)
 
     def state(self, name: str = BAD) -> str:
-        """Give the state of a case, empty where there is none."""
+        """Return the state of a case, or an empty string without one."""
         for one in self.quarantine.case_statuses():
             if one.fingerprint == name:
                 return one.state
@@ -86,131 +86,134 @@
 
     @property
     def token(self) -> int:
-        """Give the token asked for last."""
+        """Return the token of the last trial request."""
         return self._tokens
 
 
 def test_third_crash_quarantines() -> None:
-    """Refuse a request after the third endpoint, two of them on trial."""
-    bench = Bench()
-    bench.crash()
-    assert bench.state() == SUSPECT
-    first = bench.ask()
+    """Quarantine a request that crashed three endpoints, two on trial."""
+    harness = Harness()
+    harness.crash()
+    assert harness.state() == SUSPECT
+    first = harness.request_trial()
     assert first.outcome == TRY
     assert not first.alone
-    bench.crash(trial=bench.token)
-    second = bench.ask()
+    harness.crash(trial=harness.token)
+    second = harness.request_trial()
     assert second.outcome == TRY
     assert second.alone
-    bench.crash(trial=bench.token)
-    assert bench.state() == QUARANTINED
-    ruling = bench.ask()
+    harness.crash(trial=harness.token)
+    assert harness.state() == QUARANTINED
+    ruling = harness.request_trial()
     assert ruling.outcome == QUARANTINED
     assert FIRST_QUARANTINE_S - 1 < ruling.after_s <= FIRST_QUARANTINE_S
 
 
 def test_one_trial_at_a_time() -> None:
-    """Let one entry try while all others wait, unless it falls silent."""
-    bench = Bench()
-    bench.crash()
-    assert bench.ask().outcome == TRY
-    assert bench.ask().outcome == WAIT
-    assert bench.ask(after_s=LEFT_S).outcome == WAIT
-    assert bench.ask(after_s=LEFT_S).outcome == TRY
-
-
-def test_answer_acquits() -> None:
-    """Forget a suspect that an endpoint has answered."""
-    bench = Bench()
-    bench.crash()
-    bench.crash_on_trial()
-    bench.report(Acquittal(DESK, BAD))
-    assert bench.state() == ""
-    assert bench.ask().outcome == FREE
-
-
-def test_crash_that_took_many_requests_proves_nothing() -> None:
-    """Convict none of the requests that ran beside a crashing one."""
-    bench = Bench()
+    """Grant one trial at a time, and the next if its entry never reports."""
+    harness = Harness()
+    harness.crash()
+    assert harness.request_trial().outcome == TRY
+    assert harness.request_trial().outcome == WAIT
+    assert harness.request_trial(after_s=LEFT_S).outcome == WAIT
+    assert harness.request_trial(after_s=LEFT_S).outcome == TRY
+
+
+def test_answer_clears_a_suspect() -> None:
+    """Drop the case of a suspect that an endpoint has answered."""
+    harness = Harness()
+    harness.crash()
+    harness.crash_on_trial()
+    harness.report(Acquittal(DESK, BAD))
+    assert harness.state() == ""
+    assert harness.request_trial().outcome == FREE
+
+
+def test_neighbour_of_a_crashing_request_is_not_quarantined() -> None:
+    """Guard against quarantining a request that only ran beside crashes."""
+    harness = Harness()
     for name in (BAD, "neighbour"):
-        bench.crash(name, process="i-0")
+        harness.crash(name, process="i-0")
     for _ in range(5):
-        bench.crash("neighbour")
-    assert bench.state("neighbour") == SUSPECT
+        harness.crash("neighbour")
+    assert harness.state("neighbour") == SUSPECT
 
 
 def test_same_process_counts_once() -> None:
-    """Take the end of one endpoint for one crash, whoever reports it."""
-    bench = Bench()
-    bench.crash(process="i-0")
+    """Guard against counting one crash twice if several entries report it."""
+    harness = Harness()
+    harness.crash(process="i-0")
     for _ in range(3):
-        assert bench.ask().outcome == TRY
-        bench.crash(trial=bench.token, process="i-0")
-    assert bench.state() == SUSPECT
-
-
-def test_crash_of_a_request_that_is_answered_is_forgiven_once() -> None:
-    """Watch a request that was answered before; suspect it the next time."""
-    bench = Bench()
-    bench.crash(answered_before=True)
-    assert bench.state() == WATCHED
-    assert bench.ask().outcome == FREE
-    # Sent before the first crash was known: the same outage.
-    bench.crash(sent_ago_s=60.0)
-    assert bench.state() == WATCHED
-    bench.crash(sent_ago_s=0.01)
-    assert bench.state() == SUSPECT
-
-
-def test_crash_is_forgiven_for_all_entries() -> None:
-    """Watch a request that only some of its entries have seen answered."""
-    bench = Bench()
-    bench.crash()
-    assert bench.state() == SUSPECT
-    bench.crash(sent_ago_s=60.0, answered_before=True)
-    assert bench.state() == WATCHED
-
-
-def test_trial_that_was_not_sent_is_open_again() -> None:
-    """Give the next call the trial of one that ended before its send."""
-    bench = Bench()
-    bench.crash()
-    assert bench.ask().outcome == TRY
-    bench.report(TrialEnd(DESK, BAD, bench.token, sent=False))
-    again = bench.ask()
+        assert harness.request_trial().outcome == TRY
+        harness.crash(trial=harness.token, process="i-0")
+    assert harness.state() == SUSPECT
+
+
+def test_answered_request_becomes_suspect_with_its_second_crash() -> None:
+    """Watch a request that was answered before, then suspect it."""
+    harness = Harness()
+    harness.crash(answered_before=True)
+    assert harness.state() == WATCHED
+    assert harness.request_trial().outcome == FREE
+    # Sent before the first crash was known, so part of the same outage.
+    harness.crash(sent_ago_s=60.0)
+    assert harness.state() == WATCHED
+    harness.crash(sent_ago_s=0.01)
+    assert harness.state() == SUSPECT
+
+
+def test_request_answered_at_another_entry_is_only_watched() -> None:
+    """Watch a request that only some entries have seen answered."""
+    harness = Harness()
+    harness.crash()
+    assert harness.state() == SUSPECT
+    harness.crash(sent_ago_s=60.0, answered_before=True)
+    assert harness.state() == WATCHED
+
+
+def test_unsent_trial_is_granted_again() -> None:
+    """Grant the trial of a call that ended unsent to the next call."""
+    harness = Harness()
+    harness.crash()
+    assert harness.request_trial().outcome == TRY
+    harness.report(TrialEnd(DESK, BAD, harness.token, sent=False))
+    again = harness.request_trial()
     assert again.outcome == TRY
     assert not again.alone
 
 
 def test_quarantine_ends_with_one_trial() -> None:
-    """Let a single send decide once a quarantine is over."""
-    bench = Bench()
-    bench.convict()
-    assert bench.ask(after_s=FIRST_QUARANTINE_S / 2).outcome == QUARANTINED
-    ruling = bench.ask(after_s=FIRST_QUARANTINE_S)
+    """Let a single trial decide after the end of a quarantine."""
+    harness = Harness()
+    harness.quarantine_request()
+    assert (
+        harness.request_trial(after_s=FIRST_QUARANTINE_S / 2).outcome
+        == QUARANTINED
+    )
+    ruling = harness.request_trial(after_s=FIRST_QUARANTINE_S)
     assert ruling.outcome == TRY
     assert ruling.alone
-    bench.crash(trial=bench.token)
-    ruling = bench.ask()
+    harness.crash(trial=harness.token)
+    ruling = harness.request_trial()
     assert ruling.outcome == QUARANTINED
     assert ruling.after_s > 1.9 * FIRST_QUARANTINE_S
 
 
-def test_different_bodies_push_out_no_verdict() -> None:
-    """Keep within a bound what a caller can fill, and keep verdicts."""
-    bench = Bench(Quarantine(max_suspects=8, max_quarantined=4))
-    bench.convict()
-    bench.crash("proved")
-    bench.crash_on_trial("proved")
+def test_many_suspects_displace_no_quarantine() -> None:
+    """Bound the suspects, but keep quarantines and crashes on trial."""
+    harness = Harness(Quarantine(max_suspects=8, max_quarantined=4))
+    harness.quarantine_request()
+    harness.crash("proved")
+    harness.crash_on_trial("proved")
     for number in range(50):
-        bench.crash(f"other-{number}")
-    assert bench.state() == QUARANTINED
-    assert bench.state("proved") == SUSPECT
-    assert len(bench.quarantine.case_statuses()) <= 9
+        harness.crash(f"other-{number}")
+    assert harness.state() == QUARANTINED
+    assert harness.state("proved") == SUSPECT
+    assert len(harness.quarantine.case_statuses()) <= 9
 
 
-def test_verdict_survives_a_snapshot() -> None:
-    """Keep a verdict through the loss of every process."""
+def test_quarantine_survives_a_snapshot() -> None:
+    """Guard against losing a quarantine with all replica processes."""
     machine = StateMachine()
     tokens = (0, 7, 8)
     index = 0
@@ -242,39 +245,39 @@
     assert apply(Lift(DESK, BAD, "operator", 2.0)) == Lifted(False)
 
 
-def test_entries_are_told_what_changed() -> None:
-    """Tell an entry of changes alone, and all where those are forgotten."""
-    bench = Bench()
-    bench.crash("first")
-    known = bench.quarantine.index
-    bench.crash("second")
-    bench.report(Acquittal(DESK, "first"))
-    news = bench.quarantine.since(known)
+def test_updates_list_only_changes() -> None:
+    """List the changes since an index, or all cases if it is too old."""
+    harness = Harness()
+    harness.crash("first")
+    known = harness.quarantine.index
+    harness.crash("second")
+    harness.report(Acquittal(DESK, "first"))
+    news = harness.quarantine.since(known)
     assert news.base == known
     assert [one.fingerprint for one in news.cases] == ["second"]
     assert news.ended == [(DESK, "first")]
-    assert bench.quarantine.since(bench.quarantine.index).cases == []
+    assert harness.quarantine.since(harness.quarantine.index).cases == []
     restored = Quarantine()
-    restored.restore(bench.quarantine.snapshot())
+    restored.restore(harness.quarantine.snapshot())
     news = restored.since(known)
     assert news.base == 0
     assert [one.fingerprint for one in news.cases] == ["second"]
 
 
-def test_verdict_holds_at_other_services() -> None:
-    """Let one trial decide where a quarantined request goes elsewhere."""
-    bench = Bench()
-    bench.convict()
+def test_quarantine_extends_to_other_services() -> None:
+    """Let one trial decide if a quarantined request moves to a service."""
+    harness = Harness()
+    harness.quarantine_request()
     for name in ("shelf", "stack"):
         request = TrialRequest(name, BAD, 99, LEFT_S)
-        ruling = bench.report(request)
+        ruling = harness.report(request)
         assert ruling.outcome == TRY
         assert ruling.alone
-    bench.report(Crash("shelf", BAD, "i-9", 99, 0.1))
-    assert bench.report(request).outcome == TRY
+    harness.report(Crash("shelf", BAD, "i-9", 99, 0.1))
+    assert harness.report(request).outcome == TRY
     again = TrialRequest("shelf", BAD, 100, LEFT_S)
-    assert bench.report(again).outcome == QUARANTINED
-    # An answer there is believed for a while.
-    bench.report(Acquittal("stack", BAD))
-    assert bench.report(request).outcome == FREE
-    assert bench.state() == QUARANTINED
+    assert harness.report(again).outcome == QUARANTINED
+    # An answer at that service clears the request there for a while.
+    harness.report(Acquittal("stack", BAD))
+    assert harness.report(request).outcome == FREE
+    assert harness.state() == QUARANTINED
