--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -45,6 +45,7 @@
 
 ADMITTED = "admitted"
 QUEUED = "queued"
+# Bounds the retries and trials without an endpoint that one dispatch skips.
 MAX_UNPLACED = 4
 CRASHES = "crashes the endpoints that run it"
 TOO_MANY_SUSPECTS = "too many suspects wait"
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -11,7 +11,7 @@
 
 # Age up to which a report counts as current. Other load on an endpoint's vm
 # changes more than five times a second.
-FRESH_S = 0.01
+MAX_REPORT_AGE_S = 0.01
 # Endpoints are queried one after the other: most often the first has a free
 # slot, and parallel queries exhaust the budget in a burst. Share of calls
 # within their objective in the worst two seconds, one and two queries at
@@ -224,7 +224,7 @@
     def slot_kind(self, endpoint: Endpoint, now: float) -> int:
         """Return which kind of slot a current report shows, if any."""
         age_s = endpoint.report_age_s(now)
-        if age_s is None or age_s > FRESH_S:
+        if age_s is None or age_s > MAX_REPORT_AGE_S:
             return NO_SLOT
         if endpoint.stretch > MAX_STRETCH:
             return NO_SLOT
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -31,7 +31,9 @@
 
 # Calls of other entries per slot above which a hedge only lengthens queues.
 HEDGE_MAX_LOAD = 0.5
+# A hedge is sent after at least this multiple of the median latency.
 HEDGE_MIN_FACTOR = 1.5
+# Cap on a call's expected latency, as a share of its deadline.
 TYPICAL_MAX_SHARE = 0.5
 MIN_RETRY_AFTER_S = 0.2
 # With an empty queue, a call was refused by endpoints that shed at random or
@@ -42,11 +44,13 @@
 # A caller that retries has used more than this of its deadline, for a round
 # trip and a new connection. A call waits less than this for a thread here.
 MIN_RETURN_S = 0.01
+# A lost attempt that took this share of its remaining time has timed out.
 TIMED_OUT_SHARE = 0.9
 # Retry-After of a call that is shed while others wait: soon enough to meet
 # its objective, and after the first reports of a free slot.
 SHED_RETRY_S = 0.02
 TOO_LATE = "cannot be answered in time"
+# Share of its remaining time that a call may be expected to wait.
 ADMIT_SHARE = 0.5
 # Where calls are held until an endpoint has a free slot, those that can still
 # meet their objective go first, and wait less than the queue length suggests.
@@ -319,8 +323,8 @@
         if slot == FREE_SLOT:
             return True
         if slot == LAST_SLOT:
-            takes_s = self._typical_s(call) * self._chooser.fullness.factor
-            in_time = now + takes_s <= call.objective_at
+            expected_s = self._typical_s(call) * self._chooser.fullness.factor
+            in_time = now + expected_s <= call.objective_at
             if in_time or not self._chooser.fullness.is_significant:
                 return True
         if self.holds_calls and not exempt:
@@ -550,9 +554,11 @@
             return True
         # Calls with a deadline of two milliseconds are all lost. Counted as
         # failures, a few of them would eject healthy endpoints.
-        given_s = call.deadline_at - call.sent_at(result.attempt)
-        timed_out = result.latency_s >= given_s * TIMED_OUT_SHARE
-        return not timed_out or given_s >= self._latency_of(call).tail.value_s
+        allowed_s = call.deadline_at - call.sent_at(result.attempt)
+        timed_out = result.latency_s >= allowed_s * TIMED_OUT_SHARE
+        return (
+            not timed_out or allowed_s >= self._latency_of(call).tail.value_s
+        )
 
     @property
     def _send_gap_s(self) -> float:
--- a/packages/core/nutmegchute_core/rule_latencies.py
+++ b/packages/core/nutmegchute_core/rule_latencies.py
@@ -1,8 +1,8 @@
 """Estimate the latencies of a rule's calls and describe sent attempts."""
 
 from .endpoints import Endpoint
-from .inquiries import FRESH_S
 from .inquiries import is_nearly_full
+from .inquiries import MAX_REPORT_AGE_S
 from .latencies import Quantile
 
 HEDGE_QUANTILE = 0.92
@@ -44,6 +44,6 @@
         self.endpoint = endpoint
         self.nearly_full: bool | None = None
         age_s = endpoint.report_age_s(now)
-        if age_s is not None and age_s <= FRESH_S:
+        if age_s is not None and age_s <= MAX_REPORT_AGE_S:
             load = endpoint.in_flight + endpoint.reported_others
             self.nearly_full = is_nearly_full(endpoint, load)
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -12,9 +12,9 @@
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
 from nutmegchute_core.choosers import MAX_UNREPORTED
-from nutmegchute_core.inquiries import FRESH_S
 from nutmegchute_core.inquiries import Fullness
 from nutmegchute_core.inquiries import InquiryBudget
+from nutmegchute_core.inquiries import MAX_REPORT_AGE_S
 from nutmegchute_core.inquiries import QUERY_TIMEOUT_S
 from nutmegchute_core.inquiries import REQUERY_S
 from nutmegchute_core.members import Announcement
@@ -123,7 +123,7 @@
     assert sent_to(actions) == []
 
 
-def test_silent_endpoints_hold_a_call_for_a_while_only() -> None:
+def test_call_is_held_only_briefly_without_answers() -> None:
     """Send the call by old reports when no query is answered."""
     balancer = build()
     balancer.arrive_with_rule(SERVICE, rule(), 5.0)
@@ -164,7 +164,7 @@
     free = queried(actions)[0]
     balancer.record_probe(SERVICE, free, 0, 0.001, 5.001, 1.0)
     _, actions = balancer.arrive_with_rule(
-        SERVICE, rule(), 5.001 + FRESH_S / 2
+        SERVICE, rule(), 5.001 + MAX_REPORT_AGE_S / 2
     )
     assert queried(actions) == []
     assert sent_to(actions) == [free]
@@ -240,7 +240,7 @@
     assert not steady.is_significant
 
 
-def test_slowdown_is_tried_again() -> None:
+def test_estimated_slowdown_decays() -> None:
     """Let an estimated slowdown decay when calls avoid nearly full ones."""
     fullness = Fullness()
     for _ in range(20):
@@ -366,7 +366,7 @@
     assert send.endpoint in LOCAL
 
 
-def test_zone_is_kept_where_last_slots_are_as_good() -> None:
+def test_zone_is_kept_if_last_slots_are_not_slower() -> None:
     """Stay in the zone if its last slots are not slower."""
     balancer = build()
     record_slowdown(balancer, 1.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -48,7 +48,7 @@
     assert window.size > before
 
 
-def test_first_endpoint_opens_the_window() -> None:
+def test_first_endpoint_sets_the_window() -> None:
     """The first endpoint sets the window of an entry that started alone."""
     window = Window()
     window.set_share(0.0, 0)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -4,7 +4,7 @@
 from nutmegchute_core.queues import WaitQueue
 
 
-def drain(queue: WaitQueue) -> list[int]:
+def pop_all(queue: WaitQueue) -> list[int]:
     """Remove all calls; return them in order."""
     found: list[int] = []
     while True:
@@ -25,7 +25,7 @@
     queue.push(1, "background", 0.0)
     queue.push(2, "interactive", PRIORITY_DELAY_S["background"] - 0.1)
     queue.push(3, "interactive", PRIORITY_DELAY_S["background"] + 0.1)
-    assert drain(queue) == [2, 1, 3]
+    assert pop_all(queue) == [2, 1, 3]
 
 
 def test_a_retry_keeps_its_place() -> None:
@@ -33,7 +33,7 @@
     queue = WaitQueue()
     queue.push(1, "interactive", 1.0)
     queue.push(2, "interactive", 0.5)
-    assert drain(queue) == [2, 1]
+    assert pop_all(queue) == [2, 1]
 
 
 def test_count_ahead_excludes_lower_priorities() -> None:
