--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -177,7 +177,7 @@
         assert members.floor(old.key) == 8
 
 
-def test_incarnation_floor_is_reported_and_expires() -> None:
+def test_incarnation_floor_expires() -> None:
     """Refuse a lower incarnation until the floor expires.
 
     An endpoint derives its incarnation from a clock that was set back. It
