--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -57,8 +57,8 @@
 LAST_SLOT = 1
 FREE_SLOT = 2
 # Rate of load queries as a share of what the upstreams allow all entries,
-# and the burst in seconds of that rate. Rate and burst together exceed the
-# allowance in no second.
+# and the burst in seconds of that rate. In no second do rate and burst
+# together exceed the allowance.
 INQUIRY_SHARE = 2 / 3
 BURST_S = 0.5
 
--- a/tests/test_balancers_stateful.py
+++ b/tests/test_balancers_stateful.py
@@ -288,12 +288,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[str] = []
+        self.queries: list[str] = []
         self.balancer.limit_inquiries(1000.0, 1.0)
 
     def add_probe(self, probe: Probe) -> None:
         """Record a query that can be answered."""
-        self.asked.append(probe.endpoint)
+        self.queries.append(probe.endpoint)
 
     @step(
         pick=st.integers(0, 1000),
@@ -305,10 +305,10 @@
         self, pick: int, load: int | None, stretch: float, again: bool
     ) -> None:
         """Answer a query."""
-        if not self.asked:
+        if not self.queries:
             return
-        index = pick % len(self.asked)
-        address = self.asked[index] if again else self.asked.pop(index)
+        index = pick % len(self.queries)
+        address = self.queries[index] if again else self.queries.pop(index)
         self.perform(
             self.balancer.record_probe(
                 "catalogo", address, load, 0.001, self.now, stretch
