--- a/packages/daemon/nutmegchute_daemon/claims.py
+++ b/packages/daemon/nutmegchute_daemon/claims.py
@@ -210,7 +210,7 @@
         while replicas and self._loop.time() < give_up_at:
             replica = replicas[self._replica_position % len(replicas)]
             left_s = give_up_at - self._loop.time()
-            reply = await self._links.ask(
+            reply = await self._links.send_request(
                 replica.grpc_address,
                 CLAIM,
                 request,
--- a/packages/daemon/nutmegchute_daemon/deliveries.py
+++ b/packages/daemon/nutmegchute_daemon/deliveries.py
@@ -64,7 +64,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _deliver(self, member: Member, delivery: Delivery) -> None:
-        reply = await self._links.ask(
+        reply = await self._links.send_request(
             member.grpc_address, DELIVER, delivery, TIMEOUT_S
         )
         if reply is None:
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -103,7 +103,7 @@
         address = self._leader_address or self._next_replica()
         relayed = self._relay_address is not None
         sent_at = _clock()
-        reply = await self._links.ask(
+        reply = await self._links.send_request(
             address,
             FOLLOW,
             self._request(hold=not relayed),
@@ -128,7 +128,7 @@
         if self._leader_address is None:
             return
         request = FollowRequest(self._settings.name, self.index, True)
-        await self._links.ask(
+        await self._links.send_request(
             self._leader_address, FOLLOW, request, LEAVE_TIMEOUT_S
         )
 
@@ -145,7 +145,7 @@
 
     async def _try_entry(self, address: str, hold: bool) -> bool:
         sent_at = _clock()
-        relay_reply: RelayReply | None = await self._links.ask(
+        relay_reply: RelayReply | None = await self._links.send_request(
             address,
             RELAY,
             self._request(hold),
@@ -165,7 +165,7 @@
     async def _serve_relay(self, request: FollowRequest) -> RelayReply:
         if self._leader_address is None or not self.has_lease:
             return RelayReply(None)
-        reply = await self._links.ask(
+        reply = await self._links.send_request(
             self._leader_address,
             FOLLOW,
             request,
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -119,7 +119,9 @@
 
     async def _exchange(self, address: str) -> None:
         gossip = self._gossip(self._names.get(address, ""))
-        reply = await self._links.ask(address, EXCHANGE, gossip, TIMEOUT_S)
+        reply = await self._links.send_request(
+            address, EXCHANGE, gossip, TIMEOUT_S
+        )
         if reply is not None:
             self._hear(reply)
             return
--- a/packages/daemon/nutmegchute_daemon/groups.py
+++ b/packages/daemon/nutmegchute_daemon/groups.py
@@ -136,7 +136,7 @@
         task.add_done_callback(lambda _: self._asking.pop(address, None))
 
     async def _ask(self, address: str, refer: bool) -> None:
-        reply = await self._links.ask(
+        reply = await self._links.send_request(
             address, INTRODUCE, self._own_introduction()
         )
         if reply is None:
--- a/packages/daemon/nutmegchute_daemon/links.py
+++ b/packages/daemon/nutmegchute_daemon/links.py
@@ -118,7 +118,7 @@
         await self._server.start()
         self._started = True
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         method: Method,
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -74,7 +74,7 @@
             )
             reply = None
             if hold_s or await self._links.open(address, FIRST_TIMEOUT_S):
-                reply = await self._links.ask(
+                reply = await self._links.send_request(
                     address, PEER, request, hold_s + PEER_MARGIN_S
                 )
             if reply is None:
@@ -112,6 +112,8 @@
             await self._registrar.wait_seen(CONFIRM_TICK_S)
 
     async def _send(self, address: str, seen: Confirmation) -> None:
-        done = await self._links.ask(address, SEEN, seen, SEEN_TIMEOUT_S)
+        done = await self._links.send_request(
+            address, SEEN, seen, SEEN_TIMEOUT_S
+        )
         if done is not None:
             self._registrar.discovery.record_acknowledged(address, seen)
--- a/packages/daemon/nutmegchute_daemon/quarantines.py
+++ b/packages/daemon/nutmegchute_daemon/quarantines.py
@@ -110,7 +110,7 @@
             if address is None:
                 return None
             left_s = give_up_at - self._loop.time()
-            reply = await self._links.ask(
+            reply = await self._links.send_request(
                 address, REPORT, request, min(ASK_S, left_s)
             )
             if reply is not None and reply.rulings is not None:
--- a/packages/daemon/nutmegchute_daemon/refusals.py
+++ b/packages/daemon/nutmegchute_daemon/refusals.py
@@ -18,13 +18,13 @@
         self._reason = ""
         self._told_at = -REFUSALS_TOLD_S
 
-    def note(self, reason: str, now: float) -> None:
+    def record(self, reason: str, now: float) -> None:
         """Count one; the first after a while is logged at once."""
         self._count += 1
         self._reason = reason
-        self.tell(now)
+        self.report(now)
 
-    def tell(self, now: float) -> None:
+    def report(self, now: float) -> None:
         """Log what was counted, if it is time."""
         if not self._count or now - self._told_at < REFUSALS_TOLD_S:
             return
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -122,7 +122,7 @@
     def expire(self) -> None:
         """Drop the instances and entries that have fallen silent."""
         now = boot_time()
-        self._refusals.tell(now)
+        self._refusals.report(now)
         self._meet_replicas()
         if self._discovery.peers.detect_pause(now):
             log(Event.PAUSED, "warning")
@@ -154,7 +154,7 @@
 
     def note_refused(self, reason: str) -> None:
         """Count what cannot be taken for an endpoint's word."""
-        self._refusals.note(reason, boot_time())
+        self._refusals.record(reason, boot_time())
 
     def _refuse(self, reason: str) -> NotConfirmedError:
         self.note_refused(reason)
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -154,7 +154,7 @@
         while True:
             request = self._asking.question(hold_s)
             self._pending = asyncio.ensure_future(
-                self._links.ask(address, WATCH, request, timeout_s)
+                self._links.send_request(address, WATCH, request, timeout_s)
             )
             await asyncio.wait([self._pending])
             if not self._pending.cancelled():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -39,7 +39,7 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         method: Any,
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -29,7 +29,7 @@
     def serve(self, method: Any, handler: Any) -> None:
         """Serve nothing."""
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Any, request: Any, timeout_s: float
     ) -> Any:
         """Answer at once."""
--- a/tests/test_gossips.py
+++ b/tests/test_gossips.py
@@ -41,7 +41,7 @@
         """Answer by the handler."""
         self._network.handlers[self._address] = handler
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Any, word: Gossip, timeout_s: float
     ) -> Gossip | None:
         """Ask an entry; one that is down does not answer."""
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -28,7 +28,7 @@
         """Note how introductions are taken."""
         self.handler = handler
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Any, request: Introduction
     ) -> Introduction | None:
         """Give the answer of an address, or none."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -33,7 +33,7 @@
     server.serve(SEEN, hold)
     await server.start(address)
     asking = asyncio.ensure_future(
-        client.ask(address, SEEN, Confirmation("a", 1, 1), ANSWER_S)
+        client.send_request(address, SEEN, Confirmation("a", 1, 1), ANSWER_S)
     )
     try:
         await asked.wait()
--- a/tests/test_quarantine_reporters.py
+++ b/tests/test_quarantine_reporters.py
@@ -27,7 +27,7 @@
         self.leads = True
         self.taken: list[QuarantineRequest] = []
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Any, request: Any, timeout_s: float
     ) -> QuarantineReply:
         """Take a request where the leader is asked."""
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -36,7 +36,7 @@
             return False
         return True
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Any, request: Any, timeout_s: float
     ) -> WatchReply | None:
         """Give the next answer, then none for ever."""
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -133,7 +133,7 @@
         """Register the handler of a method."""
         self._network.serve(self._host, method, handler)
 
-    async def ask(
+    async def send_request(
         self, address: str, method: Method, request: Any, timeout_s: float
     ) -> Any | None:
         """Send a request to another host; return None on a timeout."""
