--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -88,12 +88,14 @@
         "_never_reports",
         "_unreported",
         "fullness",
-        "probed",
+        "probing_enabled",
         "warm_up",
     )
 
-    def __init__(self, random: Random, policy: Policy, probed: bool) -> None:
-        self.probed = probed
+    def __init__(
+        self, random: Random, policy: Policy, probing_enabled: bool
+    ) -> None:
+        self.probing_enabled = probing_enabled
         self.fullness = Fullness()
         self.warm_up = WarmUpLimit(WarmUps(), None)
         self._random = random
@@ -407,7 +409,7 @@
             return True
         if now < endpoint.ejected_until or not trial or endpoint.in_flight:
             return False
-        if not self.probed or endpoint.answered_probe:
+        if not self.probing_enabled or endpoint.answered_probe:
             return True
         # A failed trial delays a caller, a failed probe does not. An endpoint
         # that answers no probe, for example because the declared path is
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -155,7 +155,7 @@
         probes = ProbeBudget(service.probes_per_s, service.most_entries)
         probes.continue_from(self._probes)
         self._probes = probes
-        self._chooser.probed = self._may_probe(service)
+        self._chooser.probing_enabled = self._may_probe(service)
         self.eligibility.configure(service)
 
     @property
