--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -42,6 +42,7 @@
 STALL_FACTOR = 1.0
 # Stalled endpoints of one availability zone that make the zone suspect.
 MIN_ZONE_STALLS = 2
+# Age at which a stall counts half.
 STALL_AGE_S = 1.0
 # An endpoint's latency counts only above this multiple of the mean. Below, it
 # reflects the mix of calls, and queueing that the load reports show already.
@@ -52,7 +53,7 @@
 # entry queues calls itself. Too few leave slots idle between two calls; too
 # many make calls wait where more urgent ones cannot overtake them.
 QUEUE_SHARE = 0.5
-# Time after an ejection before a trial may go ahead without a probe answer.
+# Time after the end of an ejection until a trial needs no probe answer.
 PROBE_WAIT_S = 16.0
 # Successive answers without a report after which endpoints no longer count as
 # reporting. Some answers lack a report because a cache or proxy sent them.
@@ -60,7 +61,7 @@
 
 
 class ZoneStalls:
-    """Hold the endpoints that stalled since their zone's last answer."""
+    """Hold the endpoints of a zone that stalled since its last answer."""
 
     __slots__ = ("addresses", "last_at")
 
@@ -89,7 +90,7 @@
         "_unreported",
         "fullness",
         "probing_enabled",
-        "warm_up",
+        "warm_up_limit",
     )
 
     def __init__(
@@ -97,7 +98,7 @@
     ) -> None:
         self.probing_enabled = probing_enabled
         self.fullness = Fullness()
-        self.warm_up = WarmUpLimit(WarmUps(), None)
+        self.warm_up_limit = WarmUpLimit(WarmUps(), None)
         self._random = random
         self._policy = policy
         self._endpoints: list[Endpoint] = []
@@ -155,14 +156,14 @@
     def choose(
         self,
         avoid: list[str],
-        trial: bool,
+        allow_trial: bool,
         now: float,
         within_s: float = inf,
     ) -> Endpoint | None:
         """Return the best endpoint, or None.
 
-        ``trial`` allows an ejected endpoint whose trial is due. ``within_s``
-        is the time left of the call's objective, in seconds.
+        ``allow_trial`` admits an ejected endpoint whose trial is due.
+        ``within_s`` is the time left of the call's objective, in seconds.
         """
         best = None
         best_score = inf
@@ -170,7 +171,7 @@
         best_local = None
         local_score = inf
         local_slot = NO_SLOT
-        for endpoint in self._eligible(avoid, trial, now):
+        for endpoint in self._eligible(avoid, allow_trial, now):
             score = self.score(endpoint, now)
             # An endpoint whose fresh report shows a free slot goes before
             # those whose load is only estimated.
@@ -186,7 +187,7 @@
                 local_score = score
                 local_slot = slot
         if best is None:
-            return self._first_allowed(avoid, trial, now)
+            return self._first_allowed(avoid, allow_trial, now)
         if best_local is None or local_score > within_s * OBJECTIVE_SHARE:
             return best
         if best_slot > NO_SLOT:
@@ -195,7 +196,7 @@
         return best_local if gain_s <= MIN_ZONE_GAIN * self.latency_s else best
 
     def _eligible(
-        self, avoid: list[str], trial: bool, now: float
+        self, avoid: list[str], allow_trial: bool, now: float
     ) -> list[Endpoint]:
         """List candidates for a call; unreachable ones only if all are."""
         up: list[Endpoint] = []
@@ -207,7 +208,7 @@
             if avoid and endpoint.address in avoid:
                 continue
             if not ignore_ejection and not self._is_allowed(
-                endpoint, trial, now
+                endpoint, allow_trial, now
             ):
                 continue
             (down if endpoint.is_unreachable(now) else up).append(endpoint)
@@ -222,12 +223,12 @@
     def _has_room(self, endpoint: Endpoint, now: float) -> bool:
         if endpoint.in_flight >= endpoint.slots:
             return False
-        return self.warm_up.allows(endpoint, now)
+        return self.warm_up_limit.allows(endpoint, now)
 
     def must_refuse(self, now: float) -> bool:
         """Return whether all endpoints are cold and left to others."""
         for endpoint in self._endpoints:
-            if not self.warm_up.excludes(endpoint, now):
+            if not self.warm_up_limit.excludes(endpoint, now):
                 return False
         return bool(self._endpoints)
 
@@ -361,7 +362,7 @@
     def endpoints_to_query(
         self, avoid: list[str], local_only: bool, now: float
     ) -> list[Endpoint]:
-        """Return the endpoint to query before a send, if a query helps.
+        """List the endpoint to query before a send; none if a slot is known.
 
         ``local_only`` leaves out other availability zones. Endpoints that do
         not report their stretch are not queried: their health path may wait
@@ -404,10 +405,16 @@
         """Record a probe's answer; a trial may follow."""
         endpoint.answered_probe = True
 
-    def _is_allowed(self, endpoint: Endpoint, trial: bool, now: float) -> bool:
+    def _is_allowed(
+        self, endpoint: Endpoint, allow_trial: bool, now: float
+    ) -> bool:
         if endpoint not in self._ejected:
             return True
-        if now < endpoint.ejected_until or not trial or endpoint.in_flight:
+        if (
+            now < endpoint.ejected_until
+            or not allow_trial
+            or endpoint.in_flight
+        ):
             return False
         if not self.probing_enabled or endpoint.answered_probe:
             return True
@@ -423,18 +430,18 @@
         return len(self._ejected) > max_ejected
 
     def _candidates(self) -> list[Endpoint]:
-        order = self._endpoints
-        if len(order) <= MAX_RECENT + SAMPLE_SIZE:
-            found = order
+        pool = self._endpoints
+        if len(pool) <= MAX_RECENT + SAMPLE_SIZE:
+            found = pool
         else:
             found = list(self._recent)
             for _ in range(SAMPLE_SIZE):
-                found.append(order[int(self._random.random() * len(order))])
+                found.append(pool[int(self._random.random() * len(pool))])
         start = int(self._random.random() * len(found)) if found else 0
         return found[start:] + found[:start]
 
     def _first_allowed(
-        self, avoid: list[str], trial: bool, now: float
+        self, avoid: list[str], allow_trial: bool, now: float
     ) -> Endpoint | None:
         if len(self._endpoints) <= MAX_RECENT + SAMPLE_SIZE:
             return None
@@ -444,6 +451,6 @@
                 continue
             if endpoint.address in avoid:
                 continue
-            if ignore_ejection or self._is_allowed(endpoint, trial, now):
+            if ignore_ejection or self._is_allowed(endpoint, allow_trial, now):
                 return endpoint
         return None
--- a/packages/core/nutmegchute_core/eligibility.py
+++ b/packages/core/nutmegchute_core/eligibility.py
@@ -68,7 +68,7 @@
     def configure(self, service: Service) -> None:
         """Apply a new configuration of the service."""
         self._service = service
-        self._chooser.warm_up = WarmUpLimit(
+        self._chooser.warm_up_limit = WarmUpLimit(
             self._warm_ups, service.warm_up_per_s
         )
 
@@ -98,7 +98,7 @@
         self, endpoint: Endpoint, cold_s: float, now: float
     ) -> None:
         """Record for how long an endpoint is still cold, in seconds."""
-        if self._chooser.warm_up.applies:
+        if self._chooser.warm_up_limit.applies:
             endpoint.cold_until = now + cold_s
 
     def find_idle(self, avoid: list[str], now: float) -> str | None:
@@ -125,7 +125,7 @@
             return False
         if not endpoint.accepts_calls or now < endpoint.ejected_until:
             return False
-        if not self._chooser.warm_up.allows(endpoint, now):
+        if not self._chooser.warm_up_limit.allows(endpoint, now):
             return False
         if not self._chooser.reports_stretch:
             return True
--- a/packages/core/nutmegchute_core/endpoints.py
+++ b/packages/core/nutmegchute_core/endpoints.py
@@ -8,12 +8,12 @@
 from .members import DRAINING
 
 # Weight of a new answer in the moving average of the latency, and the age at
-# which that average counts half.
+# which that average counts half against the mean over all endpoints.
 LATENCY_WEIGHT = 0.3
 LATENCY_HALF_AGE_S = 2.0
 
-# Decay time of a reported stretch: interference by neighbouring vms
-# lasts 0.1 to 0.2 s.
+# Decay time of a reported stretch: interference by neighbouring vms lasts 0.1
+# to 0.2 s.
 STRETCH_DECAY_S = 0.1
 
 # Successive failures that eject an endpoint, and the pause before its first
@@ -122,12 +122,12 @@
 
     def load_basis(self, now: float) -> dict[str, float]:
         """Return own calls and the last report's load, stretch and age."""
-        found = {"own": float(self.in_flight)}
+        basis = {"own": float(self.in_flight)}
         if self._reported_at is not None:
-            found["others"] = self._others
-            found["stretch"] = self._stretch
-            found["age_ms"] = round((now - self._reported_at) * 1000, 1)
-        return found
+            basis["others"] = self._others
+            basis["stretch"] = self._stretch
+            basis["age_ms"] = round((now - self._reported_at) * 1000, 1)
+        return basis
 
     def estimate_others(
         self, mean: float, half_age_s: float, now: float
@@ -167,7 +167,7 @@
         return max(sent, self.in_flight)
 
     def warm_up_factor(self, now: float) -> float:
-        """Return the assumed slowdown since the endpoint joined."""
+        """Return the assumed slowdown of an endpoint that has just joined."""
         if self.joined_at is None:
             return 1.0
         age_s = now - self.joined_at
@@ -242,7 +242,7 @@
         self._connect_failures = min(self._connect_failures + 1, 16)
 
     def is_unreachable(self, now: float) -> bool:
-        """Return whether the last connections failed, until the next try."""
+        """Return whether to avoid the endpoint after failed connections."""
         return now < self._unreachable_until
 
     def record_success(self) -> None:
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -23,8 +23,8 @@
 # Crashes on trial that quarantine a request.
 QUARANTINE_AFTER = 2
 # A quarantine ends, since a new release may have fixed the service; a single
-# trial then decides. Each quarantine lasts twice as long as the one
-# before. The maximum is also how long a suspect is kept.
+# trial then decides. Each quarantine lasts twice as long as the one before.
+# The maximum is also how long a suspect is kept.
 FIRST_QUARANTINE_S = 3600.0
 MAX_QUARANTINE_S = 86_400.0
 # How long a watched request is kept: one whose crash did not make it a
--- a/packages/core/nutmegchute_core/warmups.py
+++ b/packages/core/nutmegchute_core/warmups.py
@@ -128,7 +128,7 @@
         return self._views[-1].group.digest
 
     @property
-    def view_count(self) -> int:
+    def group_count(self) -> int:
         """Return the number of groups in use."""
         return len(self._views)
 
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -124,16 +124,16 @@
         for number in range(entries):
             self._configure(number)
 
-    def schedule(self, when: float, what: Callable[[], None]) -> None:
+    def schedule(self, when: float, event: Callable[[], None]) -> None:
         """Schedule an event."""
         self._count += 1
-        heapq.heappush(self._events, (when, self._count, what))
+        heapq.heappush(self._events, (when, self._count, event))
 
     def run(self, until: float) -> None:
         """Run all events until a time."""
         while self._events and self._events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, event = heapq.heappop(self._events)
+            event()
         self.now = until
 
     def _configure(self, entry: int) -> None:
@@ -422,13 +422,15 @@
 
     def _fail_reports(self, entry: int, reports: list[Any]) -> None:
         balancer = self.balancers[entry]
-        asked = [one for one in reports if isinstance(one, TrialRequest)]
+        trial_requests = [
+            one for one in reports if isinstance(one, TrialRequest)
+        ]
         others = [one for one in reports if not isinstance(one, TrialRequest)]
 
         def give_up() -> None:
             if self.balancers[entry] is not balancer:
                 return
-            for one in asked:
+            for one in trial_requests:
                 self._perform(
                     entry, balancer.apply_ruling(one, None, self.now)
                 )
--- a/tests/test_quarantines.py
+++ b/tests/test_quarantines.py
@@ -252,16 +252,16 @@
     known = harness.quarantine.index
     harness.crash("second")
     harness.report(Acquittal(DESK, "first"))
-    news = harness.quarantine.since(known)
-    assert news.base == known
-    assert [one.fingerprint for one in news.cases] == ["second"]
-    assert news.ended == [(DESK, "first")]
+    update = harness.quarantine.since(known)
+    assert update.base == known
+    assert [one.fingerprint for one in update.cases] == ["second"]
+    assert update.ended == [(DESK, "first")]
     assert harness.quarantine.since(harness.quarantine.index).cases == []
     restored = Quarantine()
     restored.restore(harness.quarantine.snapshot())
-    news = restored.since(known)
-    assert news.base == 0
-    assert [one.fingerprint for one in news.cases] == ["second"]
+    update = restored.since(known)
+    assert update.base == 0
+    assert [one.fingerprint for one in update.cases] == ["second"]
 
 
 def test_quarantine_extends_to_other_services() -> None:
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -192,7 +192,7 @@
     warm_ups = WarmUps("entry-0")
     for second in range(100):
         warm_ups.update_group(group_of(names(second % 7 + 1)), float(second))
-    assert warm_ups.view_count <= SETTLE_S + 2
+    assert warm_ups.group_count <= SETTLE_S + 2
 
 
 def test_entries_of_the_endpoints_zone_go_first() -> None:
