--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -24,7 +24,7 @@
 from .exchanges import Body
 from .exchanges import StrictRequest
 from .protocols import SERVICE_KEY_HEADER
-from .servers import LoopAsker
+from .servers import LoopRunner
 
 ANNOUNCE_PATH = b"/announce"
 ANNOUNCEMENT_BYTES = 4096
@@ -149,10 +149,10 @@
     are most of what an entry at rest does.
     """
 
-    __slots__ = ("_asker", "_take")
+    __slots__ = ("_runner", "_take")
 
-    def __init__(self, asker: LoopAsker, take: Take) -> None:
-        self._asker = asker
+    def __init__(self, runner: LoopRunner, take: Take) -> None:
+        self._runner = runner
         self._take = take
 
     def __call__(self, http: StrictRequest) -> None:
@@ -180,7 +180,7 @@
         announcement = read_announcement(_read_body(http))
         name = SERVICE_KEY_HEADER.encode()
         key = http.inheaders.get(name, b"")[:KEY_BYTES].decode("latin-1")
-        return dict(self._asker.ask(self._take, announcement, key))
+        return dict(self._runner.run_sync(self._take, announcement, key))
 
 
 def _read_body(http: StrictRequest) -> bytes:
--- a/packages/daemon/nutmegchute_daemon/answers.py
+++ b/packages/daemon/nutmegchute_daemon/answers.py
@@ -27,11 +27,11 @@
 )
 
 
-class CutAnswerError(DaemonError):
+class BrokenAnswerError(DaemonError):
     """Say that an answer ended before its end."""
 
 
-class AnswerForm:
+class AnswerFormat:
     """Read what an endpoint's answer says of the call and of itself.
 
     This is the product's own form; another set of headers is another
@@ -53,7 +53,7 @@
         :raises CutAnswerError: it is another's, or promises what is false
         """
 
-    def misdirected(self, response: HTTPResponse) -> bool:
+    def is_misdirected(self, response: HTTPResponse) -> bool:
         """Tell whether another process has the endpoint's address now."""
         return False
 
@@ -70,6 +70,6 @@
         """Give for how many seconds more the endpoint is cold."""
         return None
 
-    def passes(self, name: str) -> bool:
+    def is_forwarded(self, name: str) -> bool:
         """Tell whether a header, in small letters, is for the caller."""
         return name not in OWN_HEADERS
--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -19,12 +19,13 @@
 from nutmegchute_core.claims import RAN
 from nutmegchute_core.routes import BUFFER_BYTES
 
-from .answers import CutAnswerError
+from .answers import BrokenAnswerError
+from .call_formats import BufferLimit
+from .call_formats import CallFormat
 from .connections import Exchange
 from .exchanges import BadBodyError
 from .exchanges import StrictRequest
-from .forms import CallForm
-from .forms import Kept
+from .pending_calls import PendingCall
 from .protocols import ENTRY_HEADER
 from .protocols import KEY_HEADER
 from .protocols import NOT_RUN
@@ -37,8 +38,7 @@
 from .senders import Reply
 from .senders import Request
 from .senders import Sender
-from .servers import LoopAsker
-from .tickets import Ticket
+from .servers import LoopRunner
 
 ACTION_GRACE_S = 5.0
 FULL_RETRY_S = 1.0
@@ -50,14 +50,14 @@
 class CallTaker(Protocol):
     """Describe what the entry's loop does for a call."""
 
-    def open_call(self, ticket: Ticket) -> None:
-        """Admit a call; its actions go to the ticket."""
+    def open_call(self, call: PendingCall) -> None:
+        """Admit a call; its actions are queued on it."""
 
-    def end_attempt(self, ticket: Ticket, result: Result) -> None:
+    def end_attempt(self, call: PendingCall, result: Result) -> None:
         """Take the end of an attempt."""
 
-    def close_call(self, ticket: Ticket) -> None:
-        """Forget a ticket whose worker has written its answer."""
+    def close_call(self, call: PendingCall) -> None:
+        """Forget a call whose worker has written its answer."""
 
     def end_instance(self, instance: str, address: str) -> None:
         """Take word that an instance has left its address."""
@@ -68,15 +68,15 @@
 
     __slots__ = (
         "_active",
-        "_asker",
         "_form",
         "_lock",
         "_most",
         "_name",
+        "_runner",
         "_sender",
         "body_bytes",
+        "buffer_limit",
         "dispatcher",
-        "kept",
         "refusal",
         "refusal_retry_s",
     )
@@ -84,20 +84,20 @@
     def __init__(
         self,
         *,
-        asker: LoopAsker,
+        runner: LoopRunner,
         sender: Sender,
         name: str,
         body_bytes: int,
         threads: int,
-        form: CallForm | None = None,
+        form: CallFormat | None = None,
     ) -> None:
         self.dispatcher: CallTaker
-        self._form = form or CallForm()
-        self._asker = asker
+        self._form = form or CallFormat()
+        self._runner = runner
         self._sender = sender
         self._name = name
         self.body_bytes = body_bytes
-        self.kept: Kept = _keep_little
+        self.buffer_limit: BufferLimit = _default_buffer_limit
         self._lock = threading.Lock()
         self._active = 0
         self._most = max(1, threads - max(1, threads // PAGE_THREADS_SHARE))
@@ -122,12 +122,14 @@
             with self._lock:
                 self._active -= 1
 
-    def attempt(self, ticket: Ticket, send: Send, exchange: Exchange) -> Reply:
+    def attempt(
+        self, call: PendingCall, send: Send, exchange: Exchange
+    ) -> Reply:
         """Make one attempt, keep its reply and tell the loop its end."""
-        request = ticket.request
+        request = call.request
         remaining_ms = max(1, int(send.remaining_s * 1000))
-        headers = self._form.outgoing(
-            ticket, send.attempt, remaining_ms, send.instance
+        headers = self._form.attempt_headers(
+            call, send.attempt, remaining_ms, send.instance
         )
         copy = Request(
             request.method, request.target, headers, request.body, request.rest
@@ -135,21 +137,21 @@
         reply = self._sender.send(
             copy, send.endpoint, send.remaining_s, exchange
         )
-        ticket.status = reply.status
-        ticket.deposit(send.attempt, reply)
-        if reply.misdirected:
-            self._asker.tell(
+        call.status = reply.status
+        call.add_reply(send.attempt, reply)
+        if reply.is_misdirected:
+            self._runner.schedule(
                 self.dispatcher.end_instance, send.instance, send.endpoint
             )
-        self._tell_end(ticket, send, reply)
+        self._tell_end(call, send, reply)
         return reply
 
-    def hedge(self, ticket: Ticket, send: Send, exchange: Exchange) -> None:
+    def hedge(self, call: PendingCall, send: Send, exchange: Exchange) -> None:
         """Make a second attempt beside the one the worker waits for."""
-        if ticket.request.rest is None:
-            self.attempt(ticket, send, exchange)
+        if call.request.rest is None:
+            self.attempt(call, send, exchange)
             return
-        self._tell_end(ticket, send, Reply(NOT_RUN_OUTCOME, 0.0))
+        self._tell_end(call, send, Reply(NOT_RUN_OUTCOME, 0.0))
 
     def _enter(self) -> bool:
         with self._lock:
@@ -163,35 +165,35 @@
             self._refuse(http, 503, self.refusal, self.refusal_retry_s)
             return
         try:
-            ticket = self._form.read(http, self.body_bytes, self.kept)
+            call = self._form.read(http, self.body_bytes, self.buffer_limit)
         except (BadRequestError, BadBodyError) as error:
             # What is left of the body would be read as the next request.
             http.close_connection = True
             self._refuse(http, error.status, str(error), 0.0)
             return
         http.opened = True
-        self._asker.tell(self.dispatcher.open_call, ticket)
+        self._runner.schedule(self.dispatcher.open_call, call)
         try:
-            self._follow(ticket, http)
+            self._follow(call, http)
         finally:
             # Here, since the loop hears of the end up to a sweep later.
-            ticket.story.ended_at = time.monotonic()
-            ticket.close()
-            self._asker.tell_later(self.dispatcher.close_call, ticket)
+            call.record.ended_at = time.monotonic()
+            call.close()
+            self._runner.defer(self.dispatcher.close_call, call)
 
-    def _follow(self, ticket: Ticket, http: StrictRequest) -> None:
+    def _follow(self, call: PendingCall, http: StrictRequest) -> None:
         while True:
-            action, exchange = ticket.take(
+            action, exchange = call.next_action(
                 MAX_DEADLINE_MS / 1000 + ACTION_GRACE_S
             )
             if isinstance(action, Send):
                 assert exchange is not None
-                reply = self._attempt(ticket, action, exchange)
+                reply = self._attempt(call, action, exchange)
                 if reply.outcome == ANSWERED and not reply.failed:
                     # The balancer always ends a call with its first good
                     # answer; waiting for its word would add one more turn
                     # through the loop to every call.
-                    self._answer(http, ticket, action.attempt)
+                    self._answer(http, call, action.attempt)
                     return
                 continue
             if isinstance(action, Refuse):
@@ -205,25 +207,25 @@
                 self._say(http, 404, headers, action.reason)
                 return
             if isinstance(action, Finish):
-                self._answer(http, ticket, action.attempt)
+                self._answer(http, call, action.attempt)
                 return
             reason = action.reason if isinstance(action, Lose) else "no word"
             self._lose(http, reason)
             return
 
     def _attempt(
-        self, ticket: Ticket, send: Send, exchange: Exchange
+        self, call: PendingCall, send: Send, exchange: Exchange
     ) -> Reply:
-        rest = ticket.request.rest
+        rest = call.request.rest
         if rest is not None and rest.begun:
             # The body went out with an earlier attempt and is gone: this
             # attempt cannot be made, and truly does not run.
             reply = Reply(NOT_RUN_OUTCOME, 0.0)
-            self._tell_end(ticket, send, reply)
+            self._tell_end(call, send, reply)
             return reply
-        return self.attempt(ticket, send, exchange)
+        return self.attempt(call, send, exchange)
 
-    def _tell_end(self, ticket: Ticket, send: Send, reply: Reply) -> None:
+    def _tell_end(self, call: PendingCall, send: Send, reply: Reply) -> None:
         result = Result(
             call_id=send.call_id,
             attempt=send.attempt,
@@ -235,19 +237,19 @@
             shed=reply.shed,
             loss=reply.loss,
             crashed=reply.loss == CLOSED
-            and self._sender.refuses(send.endpoint),
+            and self._sender.refuses_connections(send.endpoint),
         )
-        self._asker.tell(self.dispatcher.end_attempt, ticket, result)
+        self._runner.schedule(self.dispatcher.end_attempt, call, result)
 
     def _answer(
-        self, http: StrictRequest, ticket: Ticket, attempt: int
+        self, http: StrictRequest, call: PendingCall, attempt: int
     ) -> None:
-        reply = ticket.close(attempt)
+        reply = call.close(attempt)
         if reply is None:
             self._lose(http, "answer was dropped")
             return
         headers = [*reply.headers(), (ENTRY_HEADER, self._name)]
-        if not reply.framed:
+        if not reply.is_framed:
             # Neither its end nor a cut can be told here; closing without
             # a frame leaves the caller knowing as little as this entry.
             http.close_connection = True
@@ -257,7 +259,7 @@
         try:
             for piece in reply.body():
                 http.write(piece)
-        except CutAnswerError:
+        except BrokenAnswerError:
             # The head is with the caller already. A clean end would look
             # like a whole answer, so the connection is cut instead.
             http.abort()
@@ -309,7 +311,7 @@
         headers: list[tuple[str, str]],
         reason: str,
     ) -> None:
-        headers.extend(self._form.own_headers(http))
+        headers.extend(self._form.entry_headers(http))
         body = msgspec.json.encode({"reason": reason, "entry": self._name})
         headers.append(("Content-Type", "application/json"))
         headers.append(("Content-Length", str(len(body))))
@@ -318,6 +320,6 @@
         http.write(body)
 
 
-def _keep_little(host: str, path: str) -> int:
+def _default_buffer_limit(host: str, path: str) -> int:
     """Keep as much of a body as where no route says otherwise."""
     return BUFFER_BYTES
--- a/packages/daemon/nutmegchute_daemon/connections.py
+++ b/packages/daemon/nutmegchute_daemon/connections.py
@@ -115,7 +115,7 @@
         return self.answer
 
 
-class Connections:
+class ConnectionPool:
     """Lend out connections to endpoints and take them back."""
 
     __slots__ = ("_idle", "_lock")
@@ -125,7 +125,7 @@
         # With the time until which the connection may be used again.
         self._idle: dict[str, deque[tuple[float, Connection]]] = {}
 
-    def take(self, endpoint: str) -> Connection | None:
+    def acquire(self, endpoint: str) -> Connection | None:
         """Return an idle connection that still looks open, if any."""
         now = time.monotonic()
         while True:
@@ -147,7 +147,7 @@
         host, port = split_address(endpoint)
         return Connection(host, port, timeout=timeout_s)
 
-    def give_back(
+    def release(
         self, endpoint: str, connection: Connection, keep_s: float = IDLE_S
     ) -> None:
         """Keep a connection whose exchange came to its clean end."""
@@ -161,7 +161,7 @@
         if surplus is not None:
             surplus.close()
 
-    def forget(self, endpoint: str) -> None:
+    def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
         with self._lock:
             waiting = self._idle.pop(endpoint, deque())
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -25,7 +25,7 @@
 from .registrars import EXPIRE_S
 from .registrars import Registrar
 from .servers import HttpServer
-from .servers import LoopAsker
+from .servers import LoopRunner
 from .settings import Settings
 
 TEND_S = 0.5
@@ -69,7 +69,7 @@
             self._agreement.storage.disk, self.registrar
         )
         self._recollection.load()
-        self._http.mount(open_pages(ControlPages(self, self._asker)))
+        self._http.mount(open_pages(ControlPages(self, self._runner)))
         self.add_listener(
             "directory_address", settings.directory_address, DIRECTORY_THREADS
         )
@@ -96,9 +96,9 @@
         return self._loop
 
     @property
-    def asker(self) -> LoopAsker:
+    def runner(self) -> LoopRunner:
         """Give the way to the loop for handlers."""
-        return self._asker
+        return self._runner
 
     def begin(self) -> None:
         """Meet the other replicas, then start the replica's clock."""
--- a/packages/daemon/nutmegchute_daemon/daemons.py
+++ b/packages/daemon/nutmegchute_daemon/daemons.py
@@ -17,7 +17,7 @@
 from .reports import REPORT_S
 from .reports import Reporter
 from .servers import HttpServer
-from .servers import LoopAsker
+from .servers import LoopRunner
 from .settings import read_settings
 from .settings import Settings
 
@@ -35,7 +35,7 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._asker = LoopAsker(self._loop)
+        self._runner = LoopRunner(self._loop)
         self._links = Links()
         self._metrics = Metrics(settings.statsd_address, settings.name)
         self._http = HttpServer(settings.http_address, settings.http_threads)
@@ -174,7 +174,7 @@
             "metrics_address", self._settings.metrics_address, METRICS_THREADS
         )
         if server is not None:
-            server.handle(METRICS_PATH, self._answer_metrics)
+            server.add_handler(METRICS_PATH, self._answer_metrics)
 
     def _answer_metrics(self, http: StrictRequest) -> None:
         body = self._metrics.text()
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -17,7 +17,7 @@
 from nutmegchute_core.calls import Refuse
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
-from nutmegchute_core.claims import NOT_RUN as NEVER_RAN
+from nutmegchute_core.claims import NOT_RUN as CLAIM_NOT_RUN
 from nutmegchute_core.claims import RAN
 from nutmegchute_core.claims import UNKNOWN
 from nutmegchute_core.evacuations import EvacuationUpdate
@@ -31,8 +31,8 @@
 from .events import Event
 from .events import log
 from .metrics import Metrics
-from .sockets import has_gone
-from .tickets import Ticket
+from .pending_calls import PendingCall
+from .sockets import is_peer_closed
 
 HEDGE_THREADS = 8
 SWEEP_S = 0.1
@@ -40,10 +40,10 @@
 LOOK_AFTER_S = 0.1
 CUT_RETRY_S = 1.0
 
-Hedge = Callable[[Ticket, Send, Exchange], None]
-AskLoad = Callable[[Probe], None]
-Settle = Callable[[Ticket, str], None]
-Reports = Callable[[list[Report]], None]
+Hedge = Callable[[PendingCall, Send, Exchange], None]
+QueryLoad = Callable[[Probe], None]
+Settle = Callable[[PendingCall, str], None]
+SubmitReports = Callable[[list[Report]], None]
 
 
 class Dispatcher:
@@ -53,7 +53,8 @@
         "_armed_at",
         "_ask_load",
         "_balancer",
-        "_cutting",
+        "_calls",
+        "_ending",
         "_hedge",
         "_hedges",
         "_hedging",
@@ -61,9 +62,8 @@
         "_metrics",
         "_opened",
         "_settle",
-        "_tickets",
         "_timer",
-        "report",
+        "on_reports",
     )
 
     def __init__(
@@ -72,30 +72,30 @@
         balancer: Balancer,
         metrics: Metrics,
         hedge: Hedge,
-        ask_load: AskLoad,
+        query_load: QueryLoad,
         settle: Settle,
     ) -> None:
         self._balancer = balancer
         self._metrics = metrics
         self._hedge = hedge
-        self._ask_load = ask_load
+        self._ask_load = query_load
         self._settle = settle
         self._loop = asyncio.get_running_loop()
-        self._tickets: dict[int, Ticket] = {}
+        self._calls: dict[int, PendingCall] = {}
         # Tickets whose call has no outcome yet, and all whose worker has
         # not written its answer yet, the oldest first.
-        self._opened: dict[int, tuple[float, Ticket]] = {}
+        self._opened: dict[int, tuple[float, PendingCall]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._armed_at = 0.0
         self._hedging = 0
         # Takes what control must hear of requests that crash endpoints.
-        self.report: Reports
-        self._cutting = False
+        self.on_reports: SubmitReports
+        self._ending = False
         self._hedges = ThreadPoolExecutor(HEDGE_THREADS, "hedge")
 
-    def admit(self, ticket: Ticket, deadline_s: float | None) -> None:
-        """Admit a call; its actions go to the ticket."""
-        arrival = ticket.arrival
+    def admit(self, call: PendingCall, deadline_s: float | None) -> None:
+        """Admit a call; its actions are queued on it."""
+        arrival = call.arrival
         now = self._loop.time()
         call_id, actions = self._balancer.arrive(
             arrival.service,
@@ -104,13 +104,15 @@
             now,
             deadline_s,
             arrival.attempt,
-            ticket.fingerprint,
+            call.fingerprint,
         )
-        self._open(ticket, call_id, actions, now)
+        self._open(call, call_id, actions, now)
 
-    def admit_under(self, ticket: Ticket, service: str, rule: Rule) -> None:
+    def admit_with_rule(
+        self, call: PendingCall, service: str, rule: Rule
+    ) -> None:
         """Admit a call whose service and rule a route gives."""
-        arrival = ticket.arrival
+        arrival = call.arrival
         now = self._loop.time()
         call_id, actions = self._balancer.arrive_with_rule(
             service,
@@ -118,27 +120,31 @@
             now,
             arrival.deadline_s,
             arrival.attempt,
-            ticket.fingerprint,
+            call.fingerprint,
         )
-        self._open(ticket, call_id, actions, now)
+        self._open(call, call_id, actions, now)
 
     def _open(
-        self, ticket: Ticket, call_id: int, actions: list[Action], now: float
+        self,
+        call: PendingCall,
+        call_id: int,
+        actions: list[Action],
+        now: float,
     ) -> None:
-        ticket.call_id = call_id
-        ticket.story.opened_at = now
-        self._tickets[call_id] = ticket
-        self._opened[call_id] = (now, ticket)
+        call.call_id = call_id
+        call.record.opened_at = now
+        self._calls[call_id] = call
+        self._opened[call_id] = (now, call)
         self._metrics.count("calls")
         self.perform(actions)
 
-    def end_attempt(self, ticket: Ticket, result: Result) -> None:
+    def end_attempt(self, call: PendingCall, result: Result) -> None:
         """Take the end of an attempt."""
-        if ticket.worker_attempt == result.attempt:
-            ticket.worker_attempt = None
+        if call.worker_attempt == result.attempt:
+            call.worker_attempt = None
         self._metrics.count(f"attempts.{result.outcome}")
         self._metrics.time_ms("attempt", result.latency_s * 1000)
-        send = ticket.story.sends.get(result.attempt)
+        send = call.record.sends.get(result.attempt)
         if send is not None:
             send["outcome"] = result.outcome
             send["ms"] = round(result.latency_s * 1000, 1)
@@ -147,7 +153,7 @@
             if result.loss:
                 send["loss"] = result.loss
             if result.crashed:
-                self._report_crash(ticket, send)
+                self._report_crash(call, send)
         self.perform(self._balancer.finish(result, self._loop.time()))
 
     def apply_quarantine(self, news: QuarantineUpdate) -> None:
@@ -202,12 +208,12 @@
             )
         )
 
-    def close_call(self, ticket: Ticket) -> None:
-        """Forget a ticket whose worker has written its answer."""
-        if ticket.call_id in self._tickets:
-            self._abandon(ticket.call_id)
-        self._opened.pop(ticket.call_id, None)
-        for exchange in ticket.exchanges.values():
+    def close_call(self, call: PendingCall) -> None:
+        """Forget a call whose worker has written its answer."""
+        if call.call_id in self._calls:
+            self._abandon(call.call_id)
+        self._opened.pop(call.call_id, None)
+        for exchange in call.exchanges.values():
             exchange.end()
 
     def perform(self, actions: list[Action]) -> None:
@@ -219,105 +225,105 @@
             if isinstance(action, Cancel):
                 self._cancel(action)
                 continue
-            ticket = self._tickets.get(action.call_id)
-            if ticket is None:
+            call = self._calls.get(action.call_id)
+            if call is None:
                 continue
             if isinstance(action, Send):
-                self._send(ticket, action)
+                self._send(call, action)
                 continue
-            del self._tickets[action.call_id]
-            tell(ticket, action)
+            del self._calls[action.call_id]
+            end_call(call, action)
             if isinstance(action, Finish):
-                self._settle(ticket, RAN)
+                self._settle(call, RAN)
             elif isinstance(action, Refuse):
-                self._settle(ticket, NEVER_RAN)
+                self._settle(call, CLAIM_NOT_RUN)
                 self._metrics.count("refused")
             elif isinstance(action, Lose):
-                self._settle(ticket, UNKNOWN)
+                self._settle(call, UNKNOWN)
                 self._metrics.count("unknown")
                 log(Event.CALL_LOST, "warning", reason=action.reason)
         reports = self._balancer.drain_reports()
         if reports:
-            self.report(reports)
+            self.on_reports(reports)
         self._arm()
 
     def sweep(self) -> None:
         """End waits that are over, and calls whose caller has gone."""
         now = time.monotonic()
         gone_before = self._loop.time() - LOOK_AFTER_S
-        for call_id, (opened_at, ticket) in list(self._opened.items()):
+        for call_id, (opened_at, call) in list(self._opened.items()):
             if opened_at > gone_before:
                 break
-            for exchange in ticket.exchanges.values():
+            for exchange in call.exchanges.values():
                 until = exchange.wait_until
                 if until is not None and now > until:
                     exchange.end()
-            if call_id not in self._tickets or ticket.claimed:
+            if call_id not in self._calls or call.claimed:
                 # A claimed call goes on without its caller: its outcome
                 # is recorded and told when the key comes again.
                 continue
-            if has_gone(ticket.socket_number):
+            if is_peer_closed(call.socket_number):
                 self._metrics.count("abandoned")
                 self._abandon(call_id)
 
-    def cut(self) -> None:
+    def end_all(self) -> None:
         """End every call now: what was sent is lost, the rest not run."""
-        self._cutting = True
-        for call_id, (_, ticket) in list(self._opened.items()):
-            for exchange in ticket.exchanges.values():
+        self._ending = True
+        for call_id, (_, call) in list(self._opened.items()):
+            for exchange in call.exchanges.values():
                 exchange.end()
-            if self._tickets.pop(call_id, None) is None:
+            if self._calls.pop(call_id, None) is None:
                 continue
             self._balancer.abandon(call_id, self._loop.time())
-            if ticket.exchanges:
-                self._settle(ticket, UNKNOWN)
-                tell(ticket, Lose(call_id, "entry is stopping"))
+            if call.exchanges:
+                self._settle(call, UNKNOWN)
+                end_call(call, Lose(call_id, "entry is stopping"))
                 continue
-            self._settle(ticket, NEVER_RAN)
-            tell(ticket, Refuse(call_id, "entry is stopping", CUT_RETRY_S))
+            self._settle(call, CLAIM_NOT_RUN)
+            end_call(call, Refuse(call_id, "entry is stopping", CUT_RETRY_S))
 
     def stop(self) -> None:
         """Let go of the hedging threads."""
         self._hedges.shutdown(wait=False, cancel_futures=True)
 
-    def _report_crash(self, ticket: Ticket, send: dict[str, Any]) -> None:
+    def _report_crash(self, call: PendingCall, send: dict[str, Any]) -> None:
         send["crashed"] = True
         self._metrics.count("crashes")
         log(
             Event.ENDPOINT_CRASHED,
             "warning",
-            request=ticket.name,
-            fingerprint=ticket.fingerprint,
-            service=ticket.story.service or ticket.arrival.service,
+            request=call.name,
+            fingerprint=call.fingerprint,
+            service=call.record.service or call.arrival.service,
             endpoint=send["to"],
             instance=send["instance"],
         )
 
-    def _send(self, ticket: Ticket, send: Send) -> None:
+    def _send(self, call: PendingCall, send: Send) -> None:
         exchange = Exchange()
-        ticket.exchanges[send.attempt] = exchange
+        call.exchanges[send.attempt] = exchange
         now = self._loop.time()
-        at_s = now - (ticket.story.opened_at or now)
-        ticket.story.sends[send.attempt] = {
+        at_s = now - (call.record.opened_at or now)
+        call.record.sends[send.attempt] = {
             "to": send.endpoint,
             "instance": send.instance,
             "at_ms": round(at_s * 1000, 1),
             **send.basis,
         }
-        if self._cutting:
+        if self._ending:
             exchange.end()
-        if ticket.worker_attempt is None:
-            ticket.worker_attempt = send.attempt
-            ticket.put(send, exchange)
+        if call.worker_attempt is None:
+            call.worker_attempt = send.attempt
+            call.put(send, exchange)
             return
         if self._hedging >= HEDGE_THREADS:
             # A hedge that waits for a thread comes too late to help.
             result = Result(send.call_id, send.attempt, NOT_RUN, 0.0)
-            self._loop.call_soon(self.end_attempt, ticket, result)
+            self._loop.call_soon(self.end_attempt, call, result)
             return
         self._hedging += 1
         self._metrics.count("hedges")
-        future = self._hedges.submit(self._hedge, ticket, send, exchange)
+        future = self._hedges.submit(self._hedge, call, send, exchange)
         future.add_done_callback(
             lambda _: self._loop.call_soon_threadsafe(self._end_hedge)
         )
@@ -326,17 +332,17 @@
         self._hedging -= 1
 
     def _cancel(self, cancel: Cancel) -> None:
-        _, ticket = self._opened.get(cancel.call_id, (0.0, None))
-        if ticket is not None:
-            ticket.exchanges[cancel.attempt].end()
+        _, call = self._opened.get(cancel.call_id, (0.0, None))
+        if call is not None:
+            call.exchanges[cancel.attempt].end()
 
     def _abandon(self, call_id: int) -> None:
         actions = self._balancer.abandon(call_id, self._loop.time())
         self.perform(actions)
-        ticket = self._tickets.pop(call_id, None)
-        if ticket is not None:
-            self._settle(ticket, UNKNOWN)
-            tell(ticket, Lose(call_id, "caller has gone"))
+        call = self._calls.pop(call_id, None)
+        if call is not None:
+            self._settle(call, UNKNOWN)
+            end_call(call, Lose(call_id, "caller has gone"))
 
     def _arm(self) -> None:
         at = self._balancer.next_wakeup()
@@ -354,8 +360,8 @@
         self.perform(self._balancer.tick(self._loop.time()))
 
 
-def tell(ticket: Ticket, action: CallAction) -> None:
-    """Give a ticket its call's final action, and note it for the log."""
-    ticket.story.outcome = type(action).__name__.lower()
-    ticket.story.reason = getattr(action, "reason", "")
-    ticket.put(action)
+def end_call(call: PendingCall, action: CallAction) -> None:
+    """Queue the final action of a call and record it for the log."""
+    call.record.outcome = type(action).__name__.lower()
+    call.record.reason = getattr(action, "reason", "")
+    call.put(action)
--- a/packages/daemon/nutmegchute_daemon/drains.py
+++ b/packages/daemon/nutmegchute_daemon/drains.py
@@ -9,7 +9,7 @@
 from .handlers import as_json
 from .handlers import require_operator
 from .handlers import require_post
-from .servers import LoopAsker
+from .servers import LoopRunner
 from .settings import Settings
 
 ALL_BRANCHES = "*"
@@ -21,23 +21,23 @@
     exposed = True
 
     def __init__(
-        self, settings: Settings, asker: LoopAsker, stop: Callable[[], None]
+        self, settings: Settings, runner: LoopRunner, stop: Callable[[], None]
     ) -> None:
         self._settings = settings
-        self._asker = asker
+        self._runner = runner
         self._stop = stop
 
     def __call__(self) -> bytes:
         """Drain this entry; asking again changes nothing."""
         require_post()
-        operator = require_operator(self._settings, self._asker)
+        operator = require_operator(self._settings, self._runner)
         # An entry carries every team's calls: a key for one branch must
         # not take the others' capacity away.
         if not operator.may_change(ALL_BRANCHES):
             raise cherrypy.HTTPError(
                 403, f"{operator.name} may not drain: needs branch '*'"
             )
-        self._asker.ask(self._begin, operator.name)
+        self._runner.run_sync(self._begin, operator.name)
         return as_json({"draining": True})
 
     def _begin(self, operator: str) -> None:
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -34,7 +34,7 @@
 from .callers import CallHandler
 from .claims import Claimer
 from .clocks import boot_time
-from .connections import Connections
+from .connections import ConnectionPool
 from .daemons import Daemon
 from .dispatchers import Dispatcher
 from .dispatchers import SWEEP_S
@@ -45,12 +45,12 @@
 from .gossips import Gossiper
 from .gossips import TICK_S as GOSSIP_TICK_S
 from .pages import EntryPages
+from .pending_calls import PendingCall
 from .probes import LOAD_PATH
 from .probes import Prober
 from .quarantines import QuarantineReporter
 from .readers import CALL_PATH
 from .senders import Sender
-from .tickets import Ticket
 
 DRAIN_TICK_S = 0.05
 # What an answer and the last request it allows may take on the way.
@@ -90,25 +90,25 @@
             directory=self._directory,
             on_change=self._update_upstreams,
         )
-        self._connections = Connections()
+        self._connections = ConnectionPool()
         self._handler = CallHandler(
-            asker=self._asker,
+            runner=self._runner,
             sender=Sender(self._connections),
             name=settings.name,
             body_bytes=settings.request_body_bytes,
             threads=settings.http_threads,
         )
         self._prober = Prober(
-            self._asker, Sender(self._connections), LOAD_PATH
+            self._runner, Sender(self._connections), LOAD_PATH
         )
         self._dispatcher = Dispatcher(
             balancer=self._balancer,
             metrics=self._metrics,
             hedge=self._handler.hedge,
-            ask_load=self._prober.ask,
+            query_load=self._prober.enqueue,
             settle=self._settle,
         )
-        self._prober.take = self._dispatcher.record_probe
+        self._prober.on_result = self._dispatcher.record_probe
         self._follower.on_quarantine = self._dispatcher.apply_quarantine
         self._follower.on_evacuations = self._dispatcher.apply_evacuations
         self._reporter = QuarantineReporter(
@@ -116,14 +116,14 @@
             lambda: [one.grpc_address for one in self._settings.control],
             self._dispatcher.apply_ruling,
         )
-        self._dispatcher.report = self._reporter.submit
+        self._dispatcher.on_reports = self._reporter.submit
         self._handler.dispatcher = self
-        pages = EntryPages(self, self._asker, settings.entries_keep_s)
-        pages.drain = DrainPage(settings, self._asker, self.stop)
+        pages = EntryPages(self, self._runner, settings.entries_keep_s)
+        pages.drain = DrainPage(settings, self._runner, self.stop)
         self._http.mount(open_pages(pages))
-        self._http.handle(CALL_PATH, self._handler)
-        announce = AnnouncementHandler(self._asker, self.announce)
-        self._http.handle(ANNOUNCE_PATH, announce)
+        self._http.add_handler(CALL_PATH, self._handler)
+        announce = AnnouncementHandler(self._runner, self.announce)
+        self._http.add_handler(ANNOUNCE_PATH, announce)
 
     def begin(self) -> None:
         """Start the periodic work: sweeps, gossip, configuration."""
@@ -157,7 +157,7 @@
         await asyncio.sleep(self._settings.entries_keep_s + KEEP_MARGIN_S)
         # Nobody should come any more. Who does is sent away with "not
         # run", and each connection ends with the answer it waits for.
-        self._http.close_politely()
+        self._http.disable_keep_alive()
         self._handler.refusal = "entry is leaving"
         while self._handler.active or self._claiming:
             await asyncio.sleep(DRAIN_TICK_S)
@@ -167,8 +167,8 @@
     def cut(self) -> int:
         """End the calls in flight; return how many there were."""
         self._handler.refusal = "entry is stopping"
-        self._http.close_politely()
-        self._dispatcher.cut()
+        self._http.disable_keep_alive()
+        self._dispatcher.end_all()
         return self._handler.active
 
     def close(self) -> None:
@@ -177,73 +177,73 @@
         self._dispatcher.stop()
         self._prober.stop()
 
-    def open_call(self, ticket: Ticket) -> None:
-        """Admit a call; its actions go to the ticket."""
+    def open_call(self, call: PendingCall) -> None:
+        """Admit a call; its actions are queued on it."""
         if not self._follower.may_act():
             # The tree at hand may have been replaced elsewhere; another
             # entry may know.
-            ticket.put(Refuse(0, "configuration not confirmed", RETRY_S))
+            call.put(Refuse(0, "configuration not confirmed", RETRY_S))
             return
-        rule = self._claimed_rule(ticket)
+        rule = self._claimed_rule(call)
         if rule is None:
-            self._dispatcher.admit(ticket, ticket.arrival.deadline_s)
+            self._dispatcher.admit(call, call.arrival.deadline_s)
             return
         started_at = self._loop.time()
-        wait_s = ticket.arrival.bound_s(rule.deadline_s)
+        wait_s = call.arrival.min_deadline_s(rule.deadline_s)
 
         def answered(answer: ClaimAnswer | None) -> None:
             self._claiming -= 1
-            if not self._may_send(ticket, answer):
+            if not self._may_send(call, answer):
                 return
             left_s = wait_s - (self._loop.time() - started_at)
-            self._dispatcher.admit(ticket, max(0.0, left_s))
+            self._dispatcher.admit(call, max(0.0, left_s))
 
         self._claiming += 1
-        assert ticket.claim is not None
-        self._claimer.claim(ticket.claim, wait_s, answered)
+        assert call.claim is not None
+        self._claimer.claim(call.claim, wait_s, answered)
 
-    def _claimed_rule(self, ticket: Ticket) -> Rule | None:
-        arrival = ticket.arrival
-        if ticket.claim is None or arrival.service not in self._services:
+    def _claimed_rule(self, call: PendingCall) -> Rule | None:
+        arrival = call.arrival
+        if call.claim is None or arrival.service not in self._services:
             return None
         service = self._services[arrival.service]
         rule = service.rule_for(arrival.method, arrival.path)
         if rule is None or rule.idempotent:
             return None
-        ticket.claimed = True
+        call.claimed = True
         return rule
 
-    def _may_send(self, ticket: Ticket, answer: ClaimAnswer | None) -> bool:
+    def _may_send(self, call: PendingCall, answer: ClaimAnswer | None) -> bool:
         if answer is None or answer.outcome in (FULL, NOT_RUN):
-            ticket.put(Refuse(0, "ledger takes no claim", RETRY_S))
+            call.put(Refuse(0, "ledger takes no claim", RETRY_S))
             return False
         if answer.outcome != FIRST:
-            ticket.put(Known(0, answer.outcome, answer.status))
+            call.put(Known(0, answer.outcome, answer.status))
             return False
         if self._follower.may_act():
             return True
-        self._settle(ticket, NOT_RUN)
-        ticket.put(Refuse(0, "configuration not confirmed", RETRY_S))
+        self._settle(call, NOT_RUN)
+        call.put(Refuse(0, "configuration not confirmed", RETRY_S))
         return False
 
-    def _settle(self, ticket: Ticket, outcome: str) -> None:
-        if not ticket.claimed or ticket.claim is None:
+    def _settle(self, call: PendingCall, outcome: str) -> None:
+        if not call.claimed or call.claim is None:
             return
-        status = ticket.status if outcome == RAN else 0
-        self._claimer.settle(Settlement(ticket.claim, outcome, status))
+        status = call.status if outcome == RAN else 0
+        self._claimer.settle(Settlement(call.claim, outcome, status))
 
     async def _settle_all(self) -> None:
         give_up_at = self._loop.time() + SETTLE_S
         while not self._claimer.idle and self._loop.time() < give_up_at:
             await asyncio.sleep(DRAIN_TICK_S)
 
-    def end_attempt(self, ticket: Ticket, result: Result) -> None:
+    def end_attempt(self, call: PendingCall, result: Result) -> None:
         """Take the end of an attempt."""
-        self._dispatcher.end_attempt(ticket, result)
+        self._dispatcher.end_attempt(call, result)
 
-    def close_call(self, ticket: Ticket) -> None:
-        """Forget a ticket whose worker has written its answer."""
-        self._dispatcher.close_call(ticket)
+    def close_call(self, call: PendingCall) -> None:
+        """Forget a call whose worker has written its answer."""
+        self._dispatcher.close_call(call)
 
     def end_instance(self, instance: str, address: str) -> None:
         """Take word that an instance has left; here none have names."""
@@ -282,7 +282,7 @@
 
     def _sweep(self) -> None:
         self._know_entries()
-        self._asker.run_later()
+        self._runner.run_deferred()
         self._dispatcher.sweep()
         self._connections.sweep()
 
--- a/packages/daemon/nutmegchute_daemon/handlers.py
+++ b/packages/daemon/nutmegchute_daemon/handlers.py
@@ -18,10 +18,10 @@
 FAULT = "500"
 
 
-class Asker(Protocol):
+class Scheduler(Protocol):
     """Describe how a page reaches the loop."""
 
-    def tell(self, function: Callable[..., Any], *args: Any) -> None:
+    def schedule(self, function: Callable[..., Any], *args: Any) -> None:
         """Run a function on the loop without waiting for it."""
 
 
@@ -37,13 +37,13 @@
     return html.unescape(message) + "\n"
 
 
-def require_operator(settings: Settings, asker: Asker) -> Operator:
+def require_operator(settings: Settings, runner: Scheduler) -> Operator:
     """Return the operator who asks, or answer 401."""
     key = cherrypy.request.headers.get(OPERATOR_HEADER, "")
     operator = settings.find_operator(key)
     if operator is None:
         # Not on the audit trail: anybody could fill the disks with it.
-        asker.tell(_log_refusal, cherrypy.request.remote.ip)
+        runner.schedule(_log_refusal, cherrypy.request.remote.ip)
         raise cherrypy.HTTPError(401, "no operator has this key")
     return operator
 
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -31,7 +31,7 @@
 from .handlers import as_json
 from .handlers import require_operator
 from .quarantine_servers import QuarantineServer
-from .servers import LoopAsker
+from .servers import LoopRunner
 from .settings import Operator
 from .settings import Settings
 
@@ -142,9 +142,9 @@
 class ControlPages:
     """Answer operators; docs/control.rst gives the forms."""
 
-    def __init__(self, daemon: Control, asker: LoopAsker) -> None:
+    def __init__(self, daemon: Control, runner: LoopRunner) -> None:
         self._daemon = daemon
-        self._asker = asker
+        self._runner = runner
 
     @cherrypy.expose
     def changes(self) -> bytes:
@@ -170,7 +170,7 @@
     def replicas(self) -> bytes:
         """Show the control replicas, or change them one at a time."""
         if cherrypy.request.method != "POST":
-            return as_json(self._asker.ask(self._daemon.replicas))
+            return as_json(self._runner.run_sync(self._daemon.replicas))
         operator = self._operator()
         request = _decode(ReplicaRequest)
         if request.action not in ACTIONS:
@@ -193,7 +193,7 @@
     @cherrypy.expose
     def tree(self) -> bytes:
         """Show the configuration tree as this replica has it."""
-        return as_json(self._asker.ask(self._tree))
+        return as_json(self._runner.run_sync(self._tree))
 
     @cherrypy.expose
     def audit(self, since: str = "", limit: str = "") -> bytes:
@@ -207,13 +207,13 @@
             ) from error
         if most < 1:
             raise cherrypy.HTTPError(400, "limit is at least 1")
-        return as_json(self._asker.ask(self._audit, after, most))
+        return as_json(self._runner.run_sync(self._audit, after, most))
 
     @cherrypy.expose
     def quarantine(self) -> bytes:
         """Show the requests that may crash endpoints, or forget one."""
         if cherrypy.request.method != "POST":
-            return as_json(self._asker.ask(self._cases))
+            return as_json(self._runner.run_sync(self._cases))
         operator = self._operator()
         request = _decode(LiftRequest)
         if not operator.may_change(EVERY_BRANCH):
@@ -231,7 +231,7 @@
     def evacuations(self) -> bytes:
         """Show the evacuated availability zones, or order about one."""
         if cherrypy.request.method != "POST":
-            return as_json(self._asker.ask(self._evacuated))
+            return as_json(self._runner.run_sync(self._evacuated))
         operator = self._operator()
         request = _decode(EvacuationRequest)
         zone = request.availability_zone
@@ -254,7 +254,7 @@
     @cherrypy.expose
     def status(self) -> bytes:
         """Describe this replica."""
-        return as_json(self._asker.ask(self._daemon.status))
+        return as_json(self._runner.run_sync(self._daemon.status))
 
     def _tree(self) -> dict[str, Any]:
         tree = self._daemon.machine.tree
@@ -277,7 +277,7 @@
         return self._daemon.machine.evacuations.evacuations
 
     def _operator(self) -> Operator:
-        return require_operator(self._daemon.settings, self._asker)
+        return require_operator(self._daemon.settings, self._runner)
 
     def _check_branches(
         self, operator: Operator, request: ChangeRequest
@@ -314,10 +314,10 @@
             ) from error
 
     def _turn_away(self, path: str) -> NoReturn:
-        address = self._asker.ask(self._daemon.leader_address)
+        address = self._runner.run_sync(self._daemon.leader_address)
         if address is not None:
             raise cherrypy.HTTPRedirect(f"http://{address}{path}", 307)
-        problem = self._asker.ask(lambda: self._daemon.agreement.problem)
+        problem = self._runner.run_sync(lambda: self._daemon.agreement.problem)
         reason = problem or "no leader; nothing was done, try again"
         raise cherrypy.HTTPError(503, reason)
 
--- a/packages/daemon/nutmegchute_daemon/pages.py
+++ b/packages/daemon/nutmegchute_daemon/pages.py
@@ -8,7 +8,7 @@
 
 from .drains import DrainPage
 from .handlers import as_json
-from .servers import LoopAsker
+from .servers import LoopRunner
 
 
 class Answerer(Protocol):
@@ -27,19 +27,21 @@
     drain: DrainPage
 
     def __init__(
-        self, daemon: Answerer, asker: LoopAsker, keep_s: float
+        self, daemon: Answerer, runner: LoopRunner, keep_s: float
     ) -> None:
         self._daemon = daemon
-        self._asker = asker
+        self._runner = runner
         self._keep_s = keep_s
 
     @cherrypy.expose
     def entries(self, availability_zone: str | None = None) -> bytes:
         """Name the entries to use and how long to keep the answer."""
-        words = self._asker.ask(self._daemon.usable_entries, availability_zone)
+        words = self._runner.run_sync(
+            self._daemon.usable_entries, availability_zone
+        )
         return as_json({"entries": words, "keep_s": self._keep_s})
 
     @cherrypy.expose
     def status(self) -> bytes:
         """Describe this entry."""
-        return as_json(self._asker.ask(self._daemon.status))
+        return as_json(self._runner.run_sync(self._daemon.status))
--- a/packages/daemon/nutmegchute_daemon/tickets.py
+++ b/packages/daemon/nutmegchute_daemon/pending_calls.py
@@ -46,12 +46,12 @@
         self.deadline_s = deadline_s
         self.attempt = attempt
 
-    def spend(self, waited_s: float) -> None:
+    def deduct_wait(self, waited_s: float) -> None:
         """Take off what the call has waited before its admission."""
         if self.deadline_s is not None:
             self.deadline_s = max(0.0, self.deadline_s - waited_s)
 
-    def bound_s(self, most_s: float) -> float:
+    def min_deadline_s(self, most_s: float) -> float:
         """Give the shorter of the caller's deadline and another."""
         # Nothing left (0.0) is not "no deadline" (None): taken for it, a
         # call that is too late already would be claimed and sent.
@@ -60,7 +60,7 @@
         return min(most_s, self.deadline_s)
 
 
-class Story:
+class CallRecord:
     """Gather what became of a call, for its line in the log.
 
     ``sends`` holds a line for each attempt, with what was known of the
@@ -96,7 +96,7 @@
         return round((self.ended_at - self.opened_at) * 1000, 1)
 
 
-class Ticket:
+class PendingCall:
     """Carry the loop's actions for one call to its worker thread.
 
     ``name`` is what the caller calls the request, if anything. ``claim``
@@ -116,10 +116,10 @@
         "exchanges",
         "fingerprint",
         "name",
+        "record",
         "request",
         "socket_number",
         "status",
-        "story",
         "worker_attempt",
     )
 
@@ -132,7 +132,7 @@
         name: str = "",
     ) -> None:
         self.name = name
-        self.story = Story()
+        self.record = CallRecord()
         self.arrival = arrival
         self.claim = claim
         self.claimed = False
@@ -157,7 +157,7 @@
         """Hand over an action; the loop calls this."""
         self._actions.put((action, exchange))
 
-    def take(
+    def next_action(
         self, timeout_s: float
     ) -> tuple[CallAction | None, Exchange | None]:
         """Wait for the next action; None says that none came."""
@@ -166,7 +166,7 @@
         except queue.Empty:
             return None, None
 
-    def deposit(self, attempt: int, reply: Reply) -> None:
+    def add_reply(self, attempt: int, reply: Reply) -> None:
         """Keep an attempt's reply until the loop has chosen one."""
         with self._lock:
             if not self._closed:
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -12,17 +12,17 @@
 from .errors import DaemonError
 from .exchanges import Body
 from .exchanges import StrictRequest
+from .pending_calls import Arrival
+from .pending_calls import PendingCall
 from .protocols import ATTEMPT_HEADER
 from .protocols import DEADLINE_HEADER
 from .protocols import KEY_HEADER
+from .senders import BodyRest
 from .senders import BUFFER_BYTES
-from .senders import HOP_HEADERS
-from .senders import named_by_connection
+from .senders import connection_options
+from .senders import HOP_BY_HOP_HEADERS
 from .senders import Request
-from .senders import Rest
-from .senders import skip_user_agent
-from .tickets import Arrival
-from .tickets import Ticket
+from .senders import suppress_user_agent
 
 CALL_PATH = b"/call/"
 MAX_DEADLINE_MS = 600000
@@ -42,8 +42,8 @@
 
 def read_call(
     http: StrictRequest, body_bytes: int, buffer_bytes: int
-) -> Ticket:
-    """Read a call and open its ticket.
+) -> PendingCall:
+    """Read a call from a request.
 
     Of its body ``buffer_bytes`` are read here, the rest when it is sent.
 
@@ -59,10 +59,10 @@
         attempt=_read_attempt(http),
     )
     claim = _read_claim(http, service, request)
-    return Ticket(arrival, request, http.conn.socket.fileno(), claim)
+    return PendingCall(arrival, request, http.conn.socket.fileno(), claim)
 
 
-def check_line(http: StrictRequest) -> None:
+def check_request_line(http: StrictRequest) -> None:
     """Refuse a request line that endpoints could read differently.
 
     :raises BadRequestError: it cannot be taken as it is
@@ -76,7 +76,7 @@
 def _read_request(
     http: StrictRequest, body_bytes: int, buffer_bytes: int
 ) -> tuple[str, Request]:
-    check_line(http)
+    check_request_line(http)
     # The raw target goes on as it came: decoding it would turn an
     # escaped slash or question mark into another path.
     raw = http.uri[len(CALL_PATH) :].decode("ascii")
@@ -106,7 +106,7 @@
     start = _read_start(body, start_bytes)
     request = Request(http.method.decode(), target, headers, start)
     if not body.whole:
-        request.rest = Rest(body.read)
+        request.rest = BodyRest(body.read)
     elif "content-length" in headers:
         del headers["Content-Length"]
     return request
@@ -126,13 +126,13 @@
     named: set[str] = set()
     for name, value in fields:
         if name.lower() == "connection":
-            named |= named_by_connection(value)
+            named |= connection_options(value)
     headers = HTTPHeaderDict()
     for name, value in fields:
-        if name.lower() in HOP_HEADERS or name.lower() in named:
+        if name.lower() in HOP_BY_HOP_HEADERS or name.lower() in named:
             continue
         headers.add(name, value)
-    skip_user_agent(headers)
+    suppress_user_agent(headers)
     return headers
 
 
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -31,22 +31,22 @@
 from nutmegchute_core.sessions import WatchReply
 from nutmegchute_core.sessions import WatchRequest
 
+from .call_formats import CallFormat
 from .callers import CallHandler
 from .clocks import boot_time
-from .connections import Connections
+from .connections import ConnectionPool
 from .daemons import Daemon
 from .dispatchers import Dispatcher
+from .dispatchers import end_call
 from .dispatchers import SWEEP_S
-from .dispatchers import tell
 from .events import Event
 from .events import log
 from .exchanges import StrictRequest
-from .forms import CallForm
+from .pending_calls import PendingCall
 from .probes import Prober
 from .quarantines import QuarantineReporter
 from .senders import Sender
 from .settings import Settings
-from .tickets import Ticket
 from .trees import TreeCopy
 from .watchers import Watcher
 
@@ -68,10 +68,10 @@
     """Stand between callers and upstreams, told by control."""
 
     def __init__(
-        self, settings: Settings, form: CallForm | None = None
+        self, settings: Settings, form: CallFormat | None = None
     ) -> None:
         super().__init__(settings)
-        self._form = form or CallForm()
+        self._form = form or CallFormat()
 
     def prepare(self) -> None:
         """Build the decisions' state and mount the callers' side."""
@@ -98,7 +98,7 @@
         self._in_touch = False
         self._pause = PauseDetector(boot_time())
         # Calls that wait for word of control, and since when.
-        self._held: list[tuple[float, Ticket]] = []
+        self._held: list[tuple[float, PendingCall]] = []
         self._hold_until = boot_time() + UNCONFIGURED_HOLD_S
         self._watcher = Watcher(
             ReplicaChooser(
@@ -110,11 +110,11 @@
             self._links,
             self,
         )
-        self._connections = Connections()
+        self._connections = ConnectionPool()
         self._processes: dict[str, Process] = {}
         self._replicas: list[str] = []
         self._handler = CallHandler(
-            asker=self._asker,
+            runner=self._runner,
             sender=Sender(self._connections, self._form),
             name=settings.name,
             body_bytes=settings.request_body_bytes,
@@ -122,13 +122,13 @@
             form=self._form,
         )
         self._prober = Prober(
-            self._asker, Sender(self._connections, self._form)
+            self._runner, Sender(self._connections, self._form)
         )
         self._dispatcher = Dispatcher(
             balancer=self._balancer,
             metrics=self._metrics,
             hedge=self._handler.hedge,
-            ask_load=self._prober.ask,
+            query_load=self._prober.enqueue,
             settle=_settle_nothing,
         )
         self._reporter = QuarantineReporter(
@@ -136,16 +136,16 @@
             lambda: self._replicas,
             self._dispatcher.apply_ruling,
         )
-        self._dispatcher.report = self._reporter.submit
-        self._prober.take = self._dispatcher.record_probe
+        self._dispatcher.on_reports = self._reporter.submit
+        self._prober.on_result = self._dispatcher.record_probe
         self._handler.dispatcher = self
-        self._handler.kept = self._buffer_bytes
-        self._http.handle(EVERYTHING, self._handler)
+        self._handler.buffer_limit = self._buffer_bytes
+        self._http.add_handler(EVERYTHING, self._handler)
         health = self.add_listener(
             "health_address", settings.health_address, HEALTH_THREADS
         )
         if health is not None:
-            health.handle(EVERYTHING, self._answer_health)
+            health.add_handler(EVERYTHING, self._answer_health)
         self._share_extra()
         self._share_inquiries()
         self._bound_warm_ups()
@@ -183,7 +183,7 @@
         self._watcher.poke()
         # Callers keep an answer of the directory for a while. Those who
         # come meanwhile are served; each answer closes its connection.
-        self._http.close_politely()
+        self._http.disable_keep_alive()
         await asyncio.sleep(self._settings.send_on_s)
         # What comes later might not be answered in time any more. Other
         # entries can take it at once.
@@ -195,7 +195,7 @@
     def cut(self) -> int:
         """End the calls in flight; return how many there were."""
         self._handler.refusal = "entry is stopping"
-        self._dispatcher.cut()
+        self._dispatcher.end_all()
         return self._handler.active
 
     def close(self) -> None:
@@ -212,14 +212,14 @@
         self._share_inquiries()
         self._bound_warm_ups()
 
-    def open_call(self, ticket: Ticket) -> None:
-        """Admit a call; its actions go to the ticket."""
+    def open_call(self, call: PendingCall) -> None:
+        """Admit a call; its actions are queued on it."""
         self._rate.count(boot_time())
         self._look_for_pause()
         if self._must_hold():
-            self._held.append((boot_time(), ticket))
+            self._held.append((boot_time(), call))
             return
-        self._route(ticket)
+        self._route(call)
 
     def _must_hold(self) -> bool:
         """Tell whether calls wait for word of control."""
@@ -237,42 +237,42 @@
         route = None if table is None else table.find(host, path)
         return BUFFER_BYTES if route is None else route.buffer_bytes
 
-    def _route(self, ticket: Ticket) -> None:
+    def _route(self, call: PendingCall) -> None:
         if self._table is None:
             refuse = Refuse(0, "no configuration yet", UNCONFIGURED_RETRY_S)
-            tell(ticket, refuse)
+            end_call(call, refuse)
             return
-        arrival = ticket.arrival
+        arrival = call.arrival
         route = self._table.find(arrival.host, arrival.path)
         if route is None:
-            tell(ticket, Reject(0, "no route covers this host and path"))
+            end_call(call, Reject(0, "no route covers this host and path"))
             return
-        ticket.story.route = route.name
-        ticket.story.service = route.choose()
-        self._dispatcher.admit_under(ticket, ticket.story.service, route.rule)
+        call.record.route = route.name
+        call.record.service = route.choose()
+        self._dispatcher.admit_with_rule(call, call.record.service, route.rule)
 
-    def end_attempt(self, ticket: Ticket, result: Result) -> None:
+    def end_attempt(self, call: PendingCall, result: Result) -> None:
         """Take the end of an attempt."""
-        self._dispatcher.end_attempt(ticket, result)
+        self._dispatcher.end_attempt(call, result)
 
-    def close_call(self, ticket: Ticket) -> None:
-        """Forget a ticket whose worker has written its answer."""
-        self._dispatcher.close_call(ticket)
-        self._log_call(ticket)
+    def close_call(self, call: PendingCall) -> None:
+        """Forget a call whose worker has written its answer."""
+        self._dispatcher.close_call(call)
+        self._log_call(call)
 
-    def _log_call(self, ticket: Ticket) -> None:
-        story = ticket.story
+    def _log_call(self, call: PendingCall) -> None:
+        record = call.record
         log(
             Event.CALL_ENDED,
-            request=ticket.name,
-            fingerprint=ticket.fingerprint,
-            route=story.route,
-            service=story.service,
-            outcome=story.outcome,
-            status=ticket.status,
-            reason=story.reason,
-            ms=story.ms,
-            sends=[dict(send) for send in story.sends.values()],
+            request=call.name,
+            fingerprint=call.fingerprint,
+            route=record.route,
+            service=record.service,
+            outcome=record.outcome,
+            status=call.status,
+            reason=record.reason,
+            ms=record.ms,
+            sends=[dict(send) for send in record.sends.values()],
             index=self._tree.index,
             known=self._catalog.version,
         )
@@ -357,9 +357,9 @@
             return
         held, self._held = self._held, []
         now = boot_time()
-        for held_at, ticket in held:
-            ticket.arrival.spend(now - held_at)
-            self._route(ticket)
+        for held_at, call in held:
+            call.arrival.deduct_wait(now - held_at)
+            self._route(call)
 
     def _apply(self) -> None:
         documents = self._tree.documents
@@ -377,7 +377,7 @@
 
     def _limit_callers(self, limits: CallerLimits) -> None:
         if limits.header_bytes is not None:
-            self._http.limit_heads(limits.header_bytes)
+            self._http.limit_headers(limits.header_bytes)
         if limits.body_bytes is not None:
             self._http.limit_body(limits.body_bytes)
             self._handler.body_bytes = limits.body_bytes
@@ -405,7 +405,7 @@
         processes = {one.endpoint: one.process for one in live}
         for address, process in self._processes.items():
             if processes.get(address) != process:
-                self._connections.forget(address)
+                self._connections.close_idle(address)
         self._processes = processes
 
     def _share_inquiries(self) -> None:
@@ -430,7 +430,7 @@
     def _sweep(self) -> None:
         self._look_for_pause()
         self._release()
-        self._asker.run_later()
+        self._runner.run_deferred()
         self._dispatcher.sweep()
         self._connections.sweep()
 
@@ -443,5 +443,5 @@
         http.begin(status, [("Content-Length", "0")])
 
 
-def _settle_nothing(ticket: Ticket, outcome: str) -> None:
+def _settle_nothing(call: PendingCall, outcome: str) -> None:
     """Settle no claim: routes declare no idempotency keys."""
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -18,10 +18,10 @@
 from urllib3.response import HTTPResponse
 from urllib3.util import SKIP_HEADER
 
-from .answers import AnswerForm
-from .answers import CutAnswerError
+from .answers import AnswerFormat
+from .answers import BrokenAnswerError
 from .connections import Connection
-from .connections import Connections
+from .connections import ConnectionPool
 from .connections import Exchange
 from .connections import idle_s
 from .errors import DaemonError
@@ -33,7 +33,7 @@
 FIRST_FINAL_STATUS = 200
 FIRST_FAILED_STATUS = 500
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "expect",
@@ -58,7 +58,7 @@
 _FOLD = re.compile(r"[\r\n]+[ \t]*")
 
 
-class Rest:
+class BodyRest:
     """Pass on the rest of a long body as it comes; it is read only once."""
 
     __slots__ = ("_read", "begun")
@@ -90,7 +90,7 @@
         target: str,
         headers: HTTPHeaderDict,
         body: bytes = b"",
-        rest: Rest | None = None,
+        rest: BodyRest | None = None,
     ) -> None:
         self.method = method
         self.target = target
@@ -104,7 +104,7 @@
             return self.body or None
         return self._pieces(self.rest)
 
-    def _pieces(self, rest: Rest) -> Iterator[bytes]:
+    def _pieces(self, rest: BodyRest) -> Iterator[bytes]:
         yield self.body
         yield from rest
 
@@ -124,12 +124,12 @@
         "_start",
         "_wait_s",
         "_whole",
+        "is_misdirected",
         "loss",
-        "misdirected",
     )
 
     def __init__(self, outcome: str, latency_s: float, loss: str = "") -> None:
-        self.misdirected = False
+        self.is_misdirected = False
         # How the attempt was lost; empty where it was not.
         self.loss = loss
         self._outcome = outcome
@@ -142,15 +142,15 @@
         self,
         response: HTTPResponse,
         connection: Connection,
-        connections: Connections,
+        connections: ConnectionPool,
         endpoint: str,
         exchange: Exchange,
         wait_s: float,
-        form: AnswerForm,
+        form: AnswerFormat,
     ) -> None:
         """Take the answer whose head has come."""
         self._form = form
-        self.misdirected = form.misdirected(response)
+        self.is_misdirected = form.is_misdirected(response)
         self._response = response
         self._connection = connection
         self._connections = connections
@@ -180,7 +180,7 @@
     @property
     def shed(self) -> bool:
         """Tell whether the endpoint itself said that it ran nothing."""
-        if self.misdirected or self._response is None:
+        if self.is_misdirected or self._response is None:
             return False
         return self._outcome == NOT_RUN
 
@@ -190,7 +190,7 @@
         return self.status >= FIRST_FAILED_STATUS
 
     @property
-    def framed(self) -> bool:
+    def is_framed(self) -> bool:
         """Tell whether the end of the answer can be told from a cut."""
         response = self._response
         if response is None or response.chunked:
@@ -223,16 +223,16 @@
         if self._response is None:
             return []
         fields = self._response.headers
-        dropped = named_by_connection(fields.get("connection", ""))
+        dropped = connection_options(fields.get("connection", ""))
         if self._response.chunked:
             dropped.add("content-length")
         kept = []
         length_seen = False
         for name, value in fields.items():
             lower = name.lower()
-            if lower in HOP_HEADERS or lower in dropped:
+            if lower in HOP_BY_HOP_HEADERS or lower in dropped:
                 continue
-            if not self._form.passes(lower):
+            if not self._form.is_forwarded(lower):
                 continue
             if lower == "content-length":
                 if length_seen:
@@ -300,7 +300,7 @@
             piece = response.read1(BUFFER_BYTES, decode_content=False)
         except (HTTPError, OSError, http.client.HTTPException) as error:
             self.close()
-            raise CutAnswerError(str(error)) from error
+            raise BrokenAnswerError(str(error)) from error
         finally:
             self._exchange.wait_until = None
             self._wait_s -= time.monotonic() - started
@@ -308,7 +308,7 @@
             # A socket shut from here ends like one closed by the other
             # side; without a length that would pass for a whole answer.
             self.close()
-            raise CutAnswerError("ended by this entry")
+            raise BrokenAnswerError("ended by this entry")
         return piece
 
     def _release(self) -> None:
@@ -318,9 +318,7 @@
         kept = self._exchange.detach()
         if kept and self._connection.clean:
             keep_s = idle_s(self._response.headers.get("keep-alive", ""))
-            self._connections.give_back(
-                self._endpoint, self._connection, keep_s
-            )
+            self._connections.release(self._endpoint, self._connection, keep_s)
         else:
             self._connection.close()
 
@@ -331,10 +329,10 @@
     __slots__ = ("_connections", "_form")
 
     def __init__(
-        self, connections: Connections, form: AnswerForm | None = None
+        self, connections: ConnectionPool, form: AnswerFormat | None = None
     ) -> None:
         self._connections = connections
-        self._form = form or AnswerForm()
+        self._form = form or AnswerFormat()
 
     def send(
         self,
@@ -380,7 +378,7 @@
             return Reply(LOST, latency_s, _loss(error))
         return reply
 
-    def refuses(self, endpoint: str) -> bool:
+    def refuses_connections(self, endpoint: str) -> bool:
         """Tell whether nothing listens at an endpoint's address any more.
 
         A connection that was closed does not show that its endpoint ended:
@@ -398,7 +396,7 @@
         return False
 
     def _connect(self, endpoint: str, remaining_s: float) -> Connection | None:
-        connection = self._connections.take(endpoint)
+        connection = self._connections.acquire(endpoint)
         if connection is not None:
             return connection
         timeout_s = max(LEAST_TIMEOUT_S, min(CONNECT_TIMEOUT_S, remaining_s))
@@ -438,10 +436,10 @@
         if response.status < FIRST_FINAL_STATUS:
             # The library takes an early hint for the whole answer; the
             # true one would be given to the next call.
-            raise CutAnswerError("interim answer")
+            raise BrokenAnswerError("interim answer")
         for name in response.headers:
             if not _NAME.fullmatch(name):
-                raise CutAnswerError("malformed header")
+                raise BrokenAnswerError("malformed header")
         return response
 
     def _take(
@@ -467,7 +465,7 @@
         )
         try:
             reply.read_start()
-        except CutAnswerError:
+        except BrokenAnswerError:
             if not shed:
                 raise
         if shed:
@@ -479,7 +477,7 @@
 
 def _loss(error: Exception) -> str:
     """Say what an error tells of how an attempt was lost."""
-    cause = error.__cause__ if isinstance(error, CutAnswerError) else error
+    cause = error.__cause__ if isinstance(error, BrokenAnswerError) else error
     if isinstance(cause, (TimeoutError, HTTPTimeoutError)):
         return TIMED_OUT
     if isinstance(cause, (OSError, ProtocolError)):
@@ -487,12 +485,12 @@
     return MALFORMED
 
 
-def named_by_connection(value: str) -> set[str]:
+def connection_options(value: str) -> set[str]:
     """Return the headers that the Connection header names as its own."""
     return {word.strip().lower() for word in value.split(",") if word.strip()}
 
 
-def skip_user_agent(headers: HTTPHeaderDict) -> None:
+def suppress_user_agent(headers: HTTPHeaderDict) -> None:
     """Keep the library from naming itself where the caller did not."""
     if "user-agent" not in headers:
         headers["User-Agent"] = SKIP_HEADER
--- a/packages/daemon/nutmegchute_daemon/servers.py
+++ b/packages/daemon/nutmegchute_daemon/servers.py
@@ -34,9 +34,9 @@
 # ended waits for the rest of a request, and its connection is closed at
 # once. In the library's own five seconds a router with half a request before
 # it ended 8.4 s after SIGTERM, and its vm kills after 6 s.
-STOP_S = 0
+STOP_TIMEOUT_S = 0
 # Threads of a listener at its start; more are started as they are needed.
-FIRST_THREADS = 4
+INITIAL_THREADS = 4
 FULL_ANSWER = (
     b"HTTP/1.1 503 Service Unavailable\r\n"
     b"Nutmegchute-Outcome: not-run\r\n"
@@ -51,34 +51,34 @@
 Application = Callable[..., Any]
 
 
-class LoopAsker:
+class LoopRunner:
     """Run functions on the loop for threads that own no state."""
 
-    __slots__ = ("_later", "_loop")
+    __slots__ = ("_deferred", "_loop")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._later: deque[tuple[Callable[..., Any], Any]] = deque()
+        self._deferred: deque[tuple[Callable[..., Any], Any]] = deque()
 
-    def tell(self, function: Callable[..., Any], *args: Any) -> None:
+    def schedule(self, function: Callable[..., Any], *args: Any) -> None:
         """Run a function on the loop without waiting for it."""
         self._loop.call_soon_threadsafe(function, *args)
 
-    def tell_later(self, function: Callable[..., Any], *args: Any) -> None:
+    def defer(self, function: Callable[..., Any], *args: Any) -> None:
         """Run a function on the loop when it next looks, soon enough.
 
         Waking the loop costs five system calls and a turn of the
         interpreter lock; what nobody waits for is spared them.
         """
-        self._later.append((function, args))
+        self._deferred.append((function, args))
 
-    def run_later(self) -> None:
+    def run_deferred(self) -> None:
         """Run what was left for later; the loop calls this."""
-        while self._later:
-            function, args = self._later.popleft()
+        while self._deferred:
+            function, args = self._deferred.popleft()
             function(*args)
 
-    def ask(self, function: Callable[..., Any], *args: Any) -> Any:
+    def run_sync(self, function: Callable[..., Any], *args: Any) -> Any:
         """Run a function on the loop and return what it returns."""
         future: concurrent.futures.Future[Any] = concurrent.futures.Future()
 
@@ -162,11 +162,11 @@
             server_name=SERVER_NAME,
             request_queue_size=ACCEPT_BACKLOG,
             timeout=KEEP_ALIVE_S,
-            shutdown_timeout=STOP_S,
+            shutdown_timeout=STOP_TIMEOUT_S,
         )
         self.requests = Workers(
             self,
-            min=min(FIRST_THREADS, threads),
+            min=min(INITIAL_THREADS, threads),
             max=threads,
             accepted_queue_size=threads,
             accepted_queue_timeout=0,
@@ -176,7 +176,7 @@
         self._handlers: list[tuple[bytes, Handler]] = []
         self._refused: deque[tuple[float, CallerConnection]] = deque()
 
-    def handle(self, prefix: bytes, handler: Handler) -> None:
+    def add_handler(self, prefix: bytes, handler: Handler) -> None:
         """Give requests whose target begins so to a handler."""
         self._handlers.append((prefix, handler))
 
@@ -248,15 +248,15 @@
         """Serve pages where no handler takes the request."""
         self._server.wsgi_app = pages
 
-    def handle(self, prefix: bytes, handler: Handler) -> None:
+    def add_handler(self, prefix: bytes, handler: Handler) -> None:
         """Give requests whose target begins so to a handler."""
-        self._server.handle(prefix, handler)
+        self._server.add_handler(prefix, handler)
 
     def limit_body(self, most: int) -> None:
         """Take no longer bodies, in bytes."""
         self._server.max_request_body_size = most
 
-    def limit_heads(self, most: int) -> None:
+    def limit_headers(self, most: int) -> None:
         """Take no longer heads of requests, in bytes."""
         self._server.max_request_header_size = most
 
@@ -273,7 +273,7 @@
         """Do the periodic work of the listener."""
         self._server.sweep()
 
-    def close_politely(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection with its next answer."""
         self._server.closing = True
 
--- a/packages/daemon/nutmegchute_daemon/sockets.py
+++ b/packages/daemon/nutmegchute_daemon/sockets.py
@@ -3,7 +3,7 @@
 import socket
 
 
-def has_gone(socket_number: int) -> bool:
+def is_peer_closed(socket_number: int) -> bool:
     """Tell whether the other side has closed its connection."""
     try:
         sock = socket.socket(fileno=socket_number)
--- a/packages/fakes/nutmegchute_fakes/edges.py
+++ b/packages/fakes/nutmegchute_fakes/edges.py
@@ -9,15 +9,15 @@
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.rules import read_services
 from nutmegchute_daemon.callers import CallHandler
-from nutmegchute_daemon.connections import Connections
+from nutmegchute_daemon.connections import ConnectionPool
 from nutmegchute_daemon.dispatchers import Dispatcher
 from nutmegchute_daemon.dispatchers import SWEEP_S
 from nutmegchute_daemon.metrics import Metrics
+from nutmegchute_daemon.pending_calls import PendingCall
 from nutmegchute_daemon.readers import CALL_PATH
 from nutmegchute_daemon.senders import Sender
 from nutmegchute_daemon.servers import HttpServer
-from nutmegchute_daemon.servers import LoopAsker
-from nutmegchute_daemon.tickets import Ticket
+from nutmegchute_daemon.servers import LoopRunner
 
 from .clusters import free_address
 
@@ -47,10 +47,10 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever)
         self._thread.start()
-        self._asker = LoopAsker(self._loop)
+        self._runner = LoopRunner(self._loop)
         self.handler = CallHandler(
-            asker=self._asker,
-            sender=Sender(Connections()),
+            runner=self._runner,
+            sender=Sender(ConnectionPool()),
             name="entry-1",
             body_bytes=BODY_BYTES,
             threads=threads,
@@ -60,23 +60,23 @@
             Announcement(SERVICE, endpoint, ZONE, slots, 1)
             for endpoint in endpoints
         ]
-        self._asker.ask(self._build, document, live)
-        self._http.handle(CALL_PATH, self.handler)
+        self._runner.run_sync(self._build, document, live)
+        self._http.add_handler(CALL_PATH, self.handler)
         self._http.start()
 
     def take_bodies(self, most: int, kept: int) -> None:
         """Take bodies of so many bytes, and keep so much of each."""
         self._http.limit_body(most)
         self.handler.body_bytes = most
-        self.handler.kept = lambda host, path: kept
+        self.handler.buffer_limit = lambda host, path: kept
 
     def in_flight(self) -> int:
         """Count the calls without an outcome."""
-        return int(self._asker.ask(lambda: self._balancer.in_flight))
+        return int(self._runner.run_sync(lambda: self._balancer.in_flight))
 
     def decide_by(self, balancer: Any) -> None:
         """Let another balancer decide from now on."""
-        self._asker.ask(self._build_dispatcher, balancer)
+        self._runner.run_sync(self._build_dispatcher, balancer)
 
     def connect(self) -> socket.socket:
         """Open a caller's connection."""
@@ -123,16 +123,16 @@
             balancer=balancer,
             metrics=Metrics("127.0.0.1:9", "entry-1"),
             hedge=self.handler.hedge,
-            ask_load=lambda probe: None,
+            query_load=lambda probe: None,
             settle=self._settle,
         )
         self.handler.dispatcher = _CallTaker(self.dispatcher)
 
-    def _settle(self, ticket: Ticket, outcome: str) -> None:
+    def _settle(self, pending: PendingCall, outcome: str) -> None:
         self.settled.append(outcome)
 
     def _sweep(self) -> None:
-        self._asker.run_later()
+        self._runner.run_deferred()
         self.dispatcher.sweep()
         self._loop.call_later(SWEEP_S, self._sweep)
 
@@ -145,9 +145,9 @@
         self.end_attempt = dispatcher.end_attempt
         self.close_call = dispatcher.close_call
 
-    def open_call(self, ticket: Ticket) -> None:
+    def open_call(self, pending: PendingCall) -> None:
         """Admit a call."""
-        self._dispatcher.admit(ticket, ticket.arrival.deadline_s)
+        self._dispatcher.admit(pending, pending.arrival.deadline_s)
 
     def end_instance(self, instance: str, address: str) -> None:
         """Take word that an instance has left; here none have names."""
--- a/tests/test_tickets.py
+++ b/tests/test_pending_calls.py
@@ -1,8 +1,8 @@
 """Test what a call carries to the loop."""
 
 import pytest
-from nutmegchute_daemon.tickets import Arrival
-from nutmegchute_daemon.tickets import Story
+from nutmegchute_daemon.pending_calls import Arrival
+from nutmegchute_daemon.pending_calls import CallRecord
 
 
 @pytest.mark.parametrize(
@@ -17,7 +17,7 @@
     waited for any more was claimed and sent with the rule's deadline.
     """
     arrival = Arrival("catalog", "POST", "/purchases", own_s, 1)
-    assert arrival.bound_s(2.0) == expected_s
+    assert arrival.min_deadline_s(2.0) == expected_s
 
 
 def test_logged_time_ends_with_the_answer() -> None:
@@ -27,8 +27,8 @@
     then, an answer of 140 ms stood there as one of 230 ms, and an engineer
     looked for 90 ms that no caller had waited.
     """
-    story = Story()
-    assert story.ms == 0.0
-    story.opened_at = 7.0
-    story.ended_at = 7.14
-    assert story.ms == 140.0
+    record = CallRecord()
+    assert record.ms == 0.0
+    record.opened_at = 7.0
+    record.ended_at = 7.14
+    assert record.ms == 140.0
--- a/tests/test_senders.py
+++ b/tests/test_senders.py
@@ -10,8 +10,8 @@
 from nutmegchute_core.calls import CANCELLED
 from nutmegchute_core.calls import LOST
 from nutmegchute_core.calls import NOT_RUN
-from nutmegchute_daemon.answers import CutAnswerError
-from nutmegchute_daemon.connections import Connections
+from nutmegchute_daemon.answers import BrokenAnswerError
+from nutmegchute_daemon.connections import ConnectionPool
 from nutmegchute_daemon.connections import Exchange
 from nutmegchute_daemon.senders import CLOSED
 from nutmegchute_daemon.senders import MALFORMED
@@ -49,7 +49,7 @@
 
     def __init__(self, endpoint: str) -> None:
         self.endpoint = endpoint
-        self.sender = Sender(Connections())
+        self.sender = Sender(ConnectionPool())
         self.exchange = Exchange()
 
     def send(self, target: str = "/a", remaining_s: float = LONG_S) -> str:
@@ -148,8 +148,8 @@
     line = Line(upstream.address)
     assert line.send() == LOST
     assert line.reply.loss == CLOSED
-    assert not line.sender.refuses(upstream.address)
-    assert line.sender.refuses(free_address())
+    assert not line.sender.refuses_connections(upstream.address)
+    assert line.sender.refuses_connections(free_address())
 
 
 @pytest.mark.parametrize(
@@ -165,7 +165,7 @@
     """
     line = Line(start(behaviour).address)
     assert line.send() == ANSWERED
-    with pytest.raises(CutAnswerError):
+    with pytest.raises(BrokenAnswerError):
         line.body()
 
 
@@ -276,7 +276,7 @@
     """Only its close ends it, so a cut cannot be told from an end."""
     line = Line(start(faulty_upstreams.unframed).address)
     assert line.send() == ANSWERED
-    assert not line.reply.framed
+    assert not line.reply.is_framed
     assert line.body() == b"until the end"
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -5,9 +5,9 @@
 
 import pytest
 from nutmegchute_daemon.exchanges import StrictRequest
-from nutmegchute_daemon.servers import FIRST_THREADS
 from nutmegchute_daemon.servers import HttpServer
-from nutmegchute_daemon.servers import STOP_S
+from nutmegchute_daemon.servers import INITIAL_THREADS
+from nutmegchute_daemon.servers import STOP_TIMEOUT_S
 from nutmegchute_fakes.clusters import free_address
 
 
@@ -27,7 +27,7 @@
     monkeypatch.setattr(server._server.requests, "stop", given.append)
     server.stop()
     stop_workers(0)
-    assert given == [STOP_S]
+    assert given == [STOP_TIMEOUT_S]
 
 
 def test_threads_are_started_as_connections_need_them() -> None:
@@ -36,7 +36,7 @@
     Callers that wait hold a thread each. The listener begins with a few and
     starts more for the connections that come, up to the most.
     """
-    most = 3 * FIRST_THREADS
+    most = 3 * INITIAL_THREADS
     server = HttpServer(free_address(), most)
     all_here = threading.Barrier(most + 1, timeout=10.0)
 
@@ -44,7 +44,7 @@
         all_here.wait()
         http.begin(200, [("Content-Length", "0")])
 
-    server.handle(b"/", wait)
+    server.add_handler(b"/", wait)
     server.start()
     host, _, port = server.address.rpartition(":")
     callers = []
