--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -102,7 +102,10 @@
         self._flush_due = False
         self._ledger_clock = LedgerClock()
         self._deliveries = Deliveries(
-            links, self._find_member, self._take_replies, self._group.meet
+            links,
+            self._find_member,
+            self._take_replies,
+            self._group.introduce_to,
         )
         links.serve(DELIVER, self._on_deliver)
         links.serve(FOLLOW, self._follows.handle_request)
@@ -161,11 +164,11 @@
         self._settings = settings
         self._group.reload(settings)
 
-    def waiting(self) -> dict[str, Member]:
+    def pending_joins(self) -> dict[str, Member]:
         """Map names to the replicas that ask to be taken in."""
         if self._node is None:
             return {}
-        return self._group.waiting(self._node.replica.membership)
+        return self._group.pending_joins(self._node.replica.membership)
 
     async def stop(self) -> None:
         """Hand over the lead and the vote, and turn the entries away."""
@@ -220,7 +223,7 @@
         """
         node = self._lead()
         replica = node.replica
-        membership = wish.apply(replica.membership, self.waiting())
+        membership = wish.apply(replica.membership, self.pending_joins())
         change = Reconfigure(
             membership, operator, wish.describe(), time.time()
         )
@@ -363,7 +366,7 @@
             self._changed()
         leads = node.replica.state == LEADER
         self._report_lead(node.replica.term if leads else None)
-        self._quorum_report.note(node.replica, self._loop.time())
+        self._quorum_report.update(node.replica, self._loop.time())
 
     def _report_lead(self, term: int | None) -> None:
         if term == self._led_term:
@@ -445,12 +448,12 @@
         self._report_lead(None)
         await asyncio.sleep(RECOVER_S)
 
-    async def tend(self) -> None:
+    async def maintain(self) -> None:
         """Look whether the group has to change, and who has to ask."""
         node = self._node
         if node is None:
             return
-        self._quorum_report.note(node.replica, self._loop.time())
+        self._quorum_report.update(node.replica, self._loop.time())
         if node.replica.should_request_join(self._loop.time()):
             await self._group.introduce(node.replica.membership.members)
         if not node.replica.is_ready:
@@ -465,7 +468,7 @@
     async def _change_group(self, node: Node) -> None:
         listed = not self._settings.seeds
         now = self._loop.time()
-        wish = due_change(node.replica, self.waiting(), now, listed)
+        wish = due_change(node.replica, self.pending_joins(), now, listed)
         if wish is not None:
             await self.reconfigure(wish, "control")
 
@@ -478,5 +481,5 @@
             f"{settings.name}.{secrets.token_hex(IDENTITY_BYTES)}",
             founding=settings.founding,
         )
-        storage.keep_identity(identity)
+        storage.save_identity(identity)
     return identity
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -14,25 +14,25 @@
 from .descriptions import describe_idle
 from .descriptions import describe_member
 from .descriptions import describe_state
+from .endpoint_files import EndpointFile
+from .endpoint_files import SAVE_PERIOD_S
 from .errors import StartError
 from .errors import StorageError
 from .evacuations import EvacuationServer
 from .operators import ControlPages
 from .peers import PeerExchange
 from .quarantine_servers import QuarantineServer
-from .recollections import KEEP_S
-from .recollections import Recollection
 from .registrars import EXPIRE_S
 from .registrars import Registrar
 from .servers import HttpServer
 from .servers import LoopRunner
 from .settings import Settings
 
-TEND_S = 0.5
+MAINTAIN_PERIOD_S = 0.5
 DIRECTORY_THREADS = 8
 
 
-class ControlForm:
+class ControlExtension:
     """Let another set of paths and documents reach the control role."""
 
     def mount(self, control: "ControlDaemon") -> None:
@@ -43,10 +43,10 @@
     """Keep the configuration with the other replicas."""
 
     def __init__(
-        self, settings: Settings, form: ControlForm | None = None
+        self, settings: Settings, extension: ControlExtension | None = None
     ) -> None:
         super().__init__(settings)
-        self._form = form or ControlForm()
+        self._extension = extension or ControlExtension()
 
     def prepare(self) -> None:
         """Open the disk and mount the pages."""
@@ -65,15 +65,15 @@
             lambda: self._agreement.node,
         )
         self._peers = PeerExchange(self._links, self.registrar)
-        self._recollection = Recollection(
+        self._endpoint_file = EndpointFile(
             self._agreement.storage.disk, self.registrar
         )
-        self._recollection.load()
+        self._endpoint_file.load()
         self._http.mount(open_pages(ControlPages(self, self._runner)))
         self.add_listener(
             "directory_address", settings.directory_address, DIRECTORY_THREADS
         )
-        self._form.mount(self)
+        self._extension.mount(self)
 
     @property
     def http(self) -> HttpServer:
@@ -104,10 +104,10 @@
         """Meet the other replicas, then start the replica's clock."""
         start_pages()
         self.spawn(self._agreement.start())
-        self.every(TEND_S, self._agreement.tend)
+        self.every(MAINTAIN_PERIOD_S, self._agreement.maintain)
         self._peers.start()
         self.every(EXPIRE_S, self._expire)
-        self.every(KEEP_S, self._recollection.keep)
+        self.every(SAVE_PERIOD_S, self._endpoint_file.save)
 
     def reload(self, settings: Settings) -> None:
         """Take the listed replicas from settings that have changed."""
@@ -130,12 +130,12 @@
         return self._evacuations
 
     def _changed(self) -> None:
-        self.registrar.tell()
-        self._peers.meet()
+        self.registrar.notify_long_polls()
+        self._peers.update_peers()
 
     def _expire(self) -> None:
         self.registrar.expire()
-        self._peers.meet()
+        self._peers.update_peers()
 
     async def finish(self) -> None:
         """Hand the lead and the vote over, and turn the entries away."""
@@ -194,7 +194,7 @@
                 **self.registrar.applied(),
             },
             "enrolled": sorted(self.machine.entries),
-            "instances": self.registrar.instances,
+            "instances": self.registrar.instance_count,
             "in_force": self._in_force(index),
         }
 
@@ -211,7 +211,7 @@
         return {
             "leader": self._agreement.leader_name,
             "replicas": rows,
-            "waiting": list(self._agreement.waiting().values()),
+            "waiting": list(self._agreement.pending_joins().values()),
         }
 
     def leader_address(self) -> str | None:
@@ -221,6 +221,6 @@
 
     def _in_force(self, index: int) -> bool:
         node = self._agreement.node
-        if node is None or self.registrar.lagging(index):
+        if node is None or self.registrar.has_entry_behind(index):
             return False
         return self._agreement.follows.in_force(index, node)
--- a/packages/daemon/nutmegchute_daemon/deliveries.py
+++ b/packages/daemon/nutmegchute_daemon/deliveries.py
@@ -18,20 +18,20 @@
 
 FindMember = Callable[[str], Member | None]
 Receive = Callable[[list[Message]], None]
-Meet = Callable[[str], None]
+IntroduceTo = Callable[[str], None]
 
 
 class Deliveries:
     """Send batches and hand the replies back; note who is unreachable.
 
-    ``meet`` is told the addresses at which another replica runs than the
-    one that was meant; its answer names no group.
+    ``introduce_to`` is called with an address at which a replica of another
+    identity runs than the one addressed; its reply names no group.
     """
 
     __slots__ = (
         "_find_member",
+        "_introduce_to",
         "_links",
-        "_meet",
         "_receive",
         "_tasks",
         "_unreachable",
@@ -42,10 +42,10 @@
         links: Links,
         find_member: FindMember,
         receive: Receive,
-        meet: Meet,
+        introduce_to: IntroduceTo,
     ) -> None:
         self._links = links
-        self._meet = meet
+        self._introduce_to = introduce_to
         self._find_member = find_member
         self._receive = receive
         self._unreachable: set[str] = set()
@@ -77,7 +77,7 @@
             self._unreachable.discard(member.name)
             log(Event.PEER_REACHED, replica=member.name)
         if not reply.group:
-            self._meet(member.grpc_address)
+            self._introduce_to(member.grpc_address)
         self._receive(reply.messages)
 
 
--- a/packages/daemon/nutmegchute_daemon/disks.py
+++ b/packages/daemon/nutmegchute_daemon/disks.py
@@ -30,7 +30,7 @@
             raise
 
     @property
-    def place(self) -> str:
+    def path(self) -> str:
         """Name the folder, for error messages."""
         return str(self._folder)
 
--- a/packages/daemon/nutmegchute_daemon/recollections.py
+++ b/packages/daemon/nutmegchute_daemon/endpoint_files.py
@@ -18,12 +18,12 @@
 ENDPOINTS_FILE = "endpoints"
 NEW_FILE = "endpoints.new"
 # How often at most; an older list holds endpoints that have left since.
-KEEP_S = 0.5
+SAVE_PERIOD_S = 0.5
 
 _DECODER = msgspec.msgpack.Decoder(list[Announcement])
 
 
-class Recollection:
+class EndpointFile:
     """Write the endpoints when they have changed, and read them at a start.
 
     Writing waits for the disk on a thread of its own: one that is slow or
@@ -49,11 +49,11 @@
         except (OSError, msgspec.DecodeError) as error:
             log(Event.RECALL_FAILED, "warning", detail=str(error))
             return
-        self._registrar.recall(found)
+        self._registrar.restore_endpoints(found)
         self._generation = self._registrar.generation
         log(Event.RECALLED, endpoints=len(found))
 
-    def keep(self) -> None:
+    def save(self) -> None:
         """Write the endpoints, if they have changed and the disk is idle."""
         if self._writing is not None and not self._writing.done():
             return
--- a/packages/daemon/nutmegchute_daemon/frames.py
+++ b/packages/daemon/nutmegchute_daemon/frames.py
@@ -6,7 +6,7 @@
 HEADER_BYTES = 16
 
 
-def frame(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     """Return the payload behind its length and checksum."""
     length = len(payload).to_bytes(4, "big")
     digest = xxhash.xxh64_digest(length + payload)
@@ -28,7 +28,7 @@
     return payload
 
 
-def frame_after(data: bytes, offset: int) -> bool:
+def has_frame_after(data: bytes, offset: int) -> bool:
     """Tell whether a whole frame starts anywhere behind an offset."""
     found = data.find(MAGIC, offset + 1)
     while found >= 0:
--- a/packages/daemon/nutmegchute_daemon/groups.py
+++ b/packages/daemon/nutmegchute_daemon/groups.py
@@ -19,24 +19,24 @@
 
 INTRODUCE = Method("Replication", "Introduce", Introduction, Introduction)
 
-FORM_S = 0.1
+FORM_PERIOD_S = 0.1
 # A replica without power answers nothing; the others' answers do not wait
 # for the end of its timeout.
-ANSWER_S = 0.2
+ANSWER_TIMEOUT_S = 0.2
 
 
 class Group:
     """Know this replica's identity and who introduced itself."""
 
     __slots__ = (
-        "_asking",
         "_formation",
-        "_heard_leader",
         "_identity",
+        "_introductions",
+        "_join_requests",
         "_leader",
         "_links",
         "_member",
-        "_join_requests",
+        "_reported_leader",
         "_settings",
         "_storage",
     )
@@ -50,10 +50,10 @@
         leader: Callable[[], Member | None],
     ) -> None:
         self._leader = leader
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._introductions: dict[str, asyncio.Task[None]] = {}
         # Where a member said last that the leader is; without one, where
         # this member is, which may know of one later.
-        self._heard_leader = ""
+        self._reported_leader = ""
         self._settings = settings
         self._links = links
         self._storage = storage
@@ -102,9 +102,9 @@
             await self.introduce()
             found = self._formation.result()
             if found is None:
-                await asyncio.sleep(FORM_S)
+                await asyncio.sleep(FORM_PERIOD_S)
                 continue
-            self._keep(found)
+            self._save_identity(found)
 
     async def introduce(self, members: list[Member] | None = None) -> None:
         """Introduce this replica to all listed ones and to the leader.
@@ -112,30 +112,36 @@
         ``members`` are those that its own log knows: the listed ones may
         have been replaced since.
         """
-        addresses = [*self._settings.replicas, self._heard_leader]
+        addresses = [*self._settings.replicas, self._reported_leader]
         for member in members or []:
             addresses.append(member.grpc_address)
         for address in addresses:
-            self._introduce_to(address, refer=True)
-        if self._asking:
-            await asyncio.wait(self._asking.values(), timeout=ANSWER_S)
+            self._start_introduction(address, refer=True)
+        if self._introductions:
+            await asyncio.wait(
+                self._introductions.values(), timeout=ANSWER_TIMEOUT_S
+            )
 
-    def meet(self, address: str) -> None:
+    def introduce_to(self, address: str) -> None:
         """Introduce this replica to one that has lost its disk.
 
         All that its settings list may have been replaced since; then it
         would ask in vain.
         """
-        self._introduce_to(address, refer=False)
+        self._start_introduction(address, refer=False)
 
-    def _introduce_to(self, address: str, refer: bool) -> None:
-        if address in ("", self._member.grpc_address, *self._asking):
+    def _start_introduction(self, address: str, refer: bool) -> None:
+        if address in ("", self._member.grpc_address, *self._introductions):
             return
-        task = asyncio.create_task(self._ask(address, refer))
-        self._asking[address] = task
-        task.add_done_callback(lambda _: self._asking.pop(address, None))
+        task = asyncio.create_task(
+            self._exchange_introductions(address, refer)
+        )
+        self._introductions[address] = task
+        task.add_done_callback(
+            lambda _: self._introductions.pop(address, None)
+        )
 
-    async def _ask(self, address: str, refer: bool) -> None:
+    async def _exchange_introductions(self, address: str, refer: bool) -> None:
         reply = await self._links.send_request(
             address, INTRODUCE, self._own_introduction()
         )
@@ -145,18 +151,18 @@
         if refer:
             # Once: two that take each other for the leader would refer to
             # one another without end.
-            self._introduce_to(reply.leader, refer=False)
+            self._start_introduction(reply.leader, refer=False)
 
-    def waiting(self, membership: Membership) -> dict[str, Member]:
+    def pending_joins(self, membership: Membership) -> dict[str, Member]:
         """Map names to the replicas that wait to become members."""
         now = asyncio.get_running_loop().time()
         return self._join_requests.pending(membership, now)
 
-    def _keep(self, found: Introduction) -> None:
+    def _save_identity(self, found: Introduction) -> None:
         identity = Identity(
             self.identity, found.group, found.genesis, self._identity.founding
         )
-        self._storage.keep_identity(identity)
+        self._storage.save_identity(identity)
         self._identity = identity
         founder = bool(self.genesis.members)
         event = Event.GROUP_FORMED if founder else Event.GROUP_JOINED
@@ -166,7 +172,7 @@
         self._formation.record(introduction)
         if introduction.group is not None:
             leader = introduction.leader
-            self._heard_leader = leader or introduction.member.grpc_address
+            self._reported_leader = leader or introduction.member.grpc_address
         now = asyncio.get_running_loop().time()
         self._join_requests.record(introduction, now)
         return self._own_introduction()
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -18,54 +18,60 @@
 # What a held question may take beyond the hold.
 PEER_MARGIN_S = 0.5
 # How long a connection to a replica that may be gone is waited for.
-FIRST_TIMEOUT_S = 0.2
+CONNECT_TIMEOUT_S = 0.2
 RETRY_S = 0.1
-RETRY_MOST_S = 0.5
+MAX_RETRY_S = 0.5
 # A confirmation is of no use once its receiver has given up waiting.
-SEEN_TIMEOUT_S = 0.4
-CONFIRM_TICK_S = 0.2
+CONFIRMATION_TIMEOUT_S = 0.4
+CONFIRM_PERIOD_S = 0.2
 
 
 class PeerExchange:
     """Hold an open question at each other replica and confirm for it."""
 
-    __slots__ = ("_asking", "_confirming", "_links", "_registrar", "_sending")
+    __slots__ = (
+        "_confirm_task",
+        "_confirmations",
+        "_links",
+        "_polls",
+        "_registrar",
+    )
 
     def __init__(self, links: Links, registrar: Registrar) -> None:
         self._links = links
         self._registrar = registrar
-        self._asking: dict[str, asyncio.Task[None]] = {}
-        self._sending: dict[str, asyncio.Task[None]] = {}
-        self._confirming: asyncio.Task[None] | None = None
-        links.serve(WATCH, registrar.watch)
-        links.serve(PEER, registrar.peer)
-        links.serve(SEEN, registrar.seen)
+        self._polls: dict[str, asyncio.Task[None]] = {}
+        self._confirmations: dict[str, asyncio.Task[None]] = {}
+        self._confirm_task: asyncio.Task[None] | None = None
+        links.serve(WATCH, registrar.handle_watch)
+        links.serve(PEER, registrar.handle_peer_request)
+        links.serve(SEEN, registrar.handle_confirmation)
 
     def start(self) -> None:
         """Begin to confirm."""
-        self._confirming = asyncio.ensure_future(self._confirm())
+        self._confirm_task = asyncio.ensure_future(self._confirm())
 
     def stop(self) -> None:
         """Ask and confirm no more."""
-        for task in self._asking.values():
+        for task in self._polls.values():
             task.cancel()
-        if self._confirming is not None:
-            self._confirming.cancel()
+        if self._confirm_task is not None:
+            self._confirm_task.cancel()
 
-    def meet(self) -> None:
+    def update_peers(self) -> None:
         """Ask the replicas that there are now."""
         addresses = self._registrar.discovery.peers.addresses
-        for address in list(self._asking):
+        for address in list(self._polls):
             if address not in addresses:
-                self._asking.pop(address).cancel()
+                self._polls.pop(address).cancel()
         for address in addresses:
-            asking = self._asking.get(address)
-            if asking is None or asking.done():
-                self._asking[address] = asyncio.ensure_future(
-                    self._ask(address)
+            poll = self._polls.get(address)
+            if poll is None or poll.done():
+                self._polls[address] = asyncio.ensure_future(
+                    self._poll(address)
                 )
 
-    async def _ask(self, address: str) -> None:
+    async def _poll(self, address: str) -> None:
         failures = 0
         hold_s = 0.0
         while True:
@@ -73,7 +79,7 @@
                 address, hold_s, boot_time()
             )
             reply = None
-            if hold_s or await self._links.open(address, FIRST_TIMEOUT_S):
+            if hold_s or await self._links.open(address, CONNECT_TIMEOUT_S):
                 reply = await self._links.send_request(
                     address, PEER, request, hold_s + PEER_MARGIN_S
                 )
@@ -81,12 +87,12 @@
                 failures += 1
                 hold_s = 0.0
                 self._links.drop(address)
-                await asyncio.sleep(min(RETRY_MOST_S, RETRY_S * failures))
+                await asyncio.sleep(min(MAX_RETRY_S, RETRY_S * failures))
                 continue
             failures = 0
             hold_s = PEER_HOLD_S
             try:
-                self._registrar.take(address, reply)
+                self._registrar.handle_reply(address, reply)
             except Exception:
                 # Were the task to end with it, what announces there would
                 # never again reach the entries that ask here.
@@ -96,7 +102,7 @@
                     address=address,
                     trace=format_exc(),
                 )
-                await asyncio.sleep(RETRY_MOST_S)
+                await asyncio.sleep(MAX_RETRY_S)
 
     async def _confirm(self) -> None:
         while True:
@@ -104,16 +110,18 @@
                 boot_time()
             )
             for address, seen in found.items():
-                sending = self._sending.get(address)
-                if sending is None or sending.done():
-                    self._sending[address] = asyncio.ensure_future(
-                        self._send(address, seen)
+                confirmation = self._confirmations.get(address)
+                if confirmation is None or confirmation.done():
+                    self._confirmations[address] = asyncio.ensure_future(
+                        self._send_confirmation(address, seen)
                     )
-            await self._registrar.wait_seen(CONFIRM_TICK_S)
+            await self._registrar.wait_progress(CONFIRM_PERIOD_S)
 
-    async def _send(self, address: str, seen: Confirmation) -> None:
+    async def _send_confirmation(
+        self, address: str, seen: Confirmation
+    ) -> None:
         done = await self._links.send_request(
-            address, SEEN, seen, SEEN_TIMEOUT_S
+            address, SEEN, seen, CONFIRMATION_TIMEOUT_S
         )
         if done is not None:
             self._registrar.discovery.record_acknowledged(address, seen)
--- a/packages/daemon/nutmegchute_daemon/quorums.py
+++ b/packages/daemon/nutmegchute_daemon/quorums.py
@@ -13,13 +13,13 @@
 class QuorumReport:
     """Log changes of the voters, and the votes that are missing."""
 
-    __slots__ = ("_lacking_since", "_membership")
+    __slots__ = ("_leaderless_since", "_membership")
 
     def __init__(self, now: float) -> None:
         self._membership = Membership()
-        self._lacking_since = now
+        self._leaderless_since = now
 
-    def note(self, replica: Replica, now: float) -> None:
+    def update(self, replica: Replica, now: float) -> None:
         """Look at a replica's membership and at whether one leads."""
         membership = replica.membership
         if membership != self._membership:
@@ -32,11 +32,11 @@
                 index=replica.log.membership_index,
             )
         if not membership.voters or replica.in_contact(now):
-            self._lacking_since = now
+            self._leaderless_since = now
             return
-        if now - self._lacking_since < LEADERLESS_S:
+        if now - self._leaderless_since < LEADERLESS_S:
             return
-        self._lacking_since = now
+        self._leaderless_since = now
         log(
             Event.LEADERLESS,
             "warning",
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -39,13 +39,13 @@
 EXPIRE_S = 0.25
 # An endpoint waits a second until its leaving is acknowledged; it asks the
 # next replica when this one says in time that it cannot do that.
-CONFIRM_S = 0.8
-MOST_ENTRIES = 64
+CONFIRM_TIMEOUT_S = 0.8
+MAX_ENTRIES = 64
 # Entries and replicas are told at most once in so long of endpoints that
 # came or fell silent, and sooner of what an acknowledgement or a change
 # waits for. Each telling costs an exchange with every entry: 270 endpoints
 # that come within two seconds would cost 84,000.
-TELL_GAP_S = 0.1
+NOTIFY_GAP_S = 0.1
 URGENT_GAP_S = 0.02
 
 
@@ -73,8 +73,8 @@
         "_discovery",
         "_in_contact",
         "_node",
+        "_progress",
         "_refusals",
-        "_seen",
     )
 
     def __init__(
@@ -89,7 +89,7 @@
         self._node = node
         self._refusals = Refusals()
         self._changes = BatchNotifier()
-        self._seen = Notifier()
+        self._progress = Notifier()
 
     @property
     def discovery(self) -> Discovery:
@@ -97,12 +97,12 @@
         return self._discovery
 
     @property
-    def instances(self) -> int:
+    def instance_count(self) -> int:
         """Count the instances that announce here."""
         return len(self._discovery.registry)
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Count the entries heard of lately by any replica."""
         return self._discovery.count_entries(boot_time())
 
@@ -110,26 +110,26 @@
         """Map each entry that asks here to the tree it has in force."""
         return self._discovery.sessions.applied(boot_time())
 
-    def lagging(self, index: int) -> bool:
+    def has_entry_behind(self, index: int) -> bool:
         """Tell whether an entry in touch has an older tree in force."""
         return self._discovery.has_lagging_entry(index, boot_time())
 
-    def tell(self) -> None:
+    def notify_long_polls(self) -> None:
         """Wake the entries' questions: the tree or the group changed."""
-        self._meet_replicas()
+        self._update_peers()
         self._changes.notify(URGENT_GAP_S)
 
     def expire(self) -> None:
         """Drop the instances and entries that have fallen silent."""
         now = boot_time()
         self._refusals.report(now)
-        self._meet_replicas()
+        self._update_peers()
         if self._discovery.peers.detect_pause(now):
             log(Event.PAUSED, "warning")
         if self._discovery.expire(now):
-            self._changes.notify(TELL_GAP_S)
+            self._changes.notify(NOTIFY_GAP_S)
 
-    def _meet_replicas(self) -> None:
+    def _update_peers(self) -> None:
         node = self._node()
         if node is None:
             return
@@ -146,21 +146,21 @@
         """List what announces here."""
         return self._discovery.registry.present(boot_time())
 
-    def recall(self, announcements: list[Announcement]) -> None:
+    def restore_endpoints(self, announcements: list[Announcement]) -> None:
         """Take the endpoints that were known before this start."""
         now = boot_time()
         for announcement in announcements:
             self._discovery.registry.restore(announcement, now)
 
-    def note_refused(self, reason: str) -> None:
+    def record_refused(self, reason: str) -> None:
         """Count what cannot be taken for an endpoint's word."""
         self._refusals.record(reason, boot_time())
 
     def _refuse(self, reason: str) -> NotConfirmedError:
-        self.note_refused(reason)
+        self.record_refused(reason)
         return NotConfirmedError(reason)
 
-    def _declared(self, service: str) -> bool:
+    def _is_declared(self, service: str) -> bool:
         """Tell whether a configuration in force may name a service."""
         node = self._node()
         if node is None or not self._in_contact():
@@ -184,7 +184,7 @@
         ):
             raise NotConfirmedError("neither replicas nor entries in reach")
         known = self._discovery.registry.is_registered(announcement.process)
-        if not known and not self._declared(announcement.service):
+        if not known and not self._is_declared(announcement.service):
             # Whoever wrote this is no endpoint of ours. Taken, it would end
             # the process that has this instance's name.
             raise self._refuse("service is not declared")
@@ -205,7 +205,7 @@
                 state=announcement.state,
                 sequence=sequence,
             )
-            self._changes.notify(TELL_GAP_S)
+            self._changes.notify(NOTIFY_GAP_S)
         if announcement.state == DRAINING:
             await self._confirm(announcement.process)
 
@@ -258,21 +258,21 @@
         node = self._node()
         evacuated = () if node is None else node.machine.evacuations.zones
         return self._discovery.usable_entries(
-            zone, MOST_ENTRIES, boot_time(), evacuated
+            zone, MAX_ENTRIES, boot_time(), evacuated
         )
 
-    async def watch(self, request: WatchRequest) -> WatchReply:
+    async def handle_watch(self, request: WatchRequest) -> WatchReply:
         """Answer an entry's question, at once where there is news."""
         discovery = self._discovery
         now = boot_time()
         known = discovery.sessions.generation
         discovery.record_watch(request, now)
         if discovery.sessions.generation != known:
-            self._changes.notify(TELL_GAP_S)
-        self._seen.notify()
+            self._changes.notify(NOTIFY_GAP_S)
+        self._progress.notify()
         hold_until = now + min(WATCH_HOLD_S, request.hold_s)
         try:
-            while not self._has_news(request):
+            while not self._has_changes(request):
                 left_s = hold_until - boot_time()
                 if left_s <= 0:
                     break
@@ -281,12 +281,12 @@
             # Its connection is gone, most likely with the entry: callers
             # are not sent there until it asks again.
             discovery.sessions.close(request.entry.name)
-            self._changes.notify(TELL_GAP_S)
+            self._changes.notify(NOTIFY_GAP_S)
             raise
         discovery.sessions.record_answer(request.entry.name, boot_time())
-        return self._reply(request)
+        return self._build_reply(request)
 
-    async def peer(self, request: PeerRequest) -> PeerReply:
+    async def handle_peer_request(self, request: PeerRequest) -> PeerReply:
         """Answer another replica's question, at once where there is news."""
         discovery = self._discovery
         now = boot_time()
@@ -299,16 +299,16 @@
             await self._changes.wait(left_s)
         return discovery.build_reply(request, boot_time())
 
-    async def seen(self, seen: Confirmation) -> Acknowledgement:
+    async def handle_confirmation(self, seen: Confirmation) -> Acknowledgement:
         """Take another replica's confirmation."""
         discovery = self._discovery
         discovery.peers.record_confirmation(
             seen, discovery.registry.epoch, boot_time()
         )
-        self._seen.notify()
+        self._progress.notify()
         return Acknowledgement()
 
-    def take(self, address: str, reply: PeerReply) -> None:
+    def handle_reply(self, address: str, reply: PeerReply) -> None:
         """Take another replica's answer."""
         discovery = self._discovery
         wanted = reply.awaited_generation
@@ -316,12 +316,12 @@
         known = 0 if peer is None else peer.awaited_generation
         if discovery.apply_reply(address, reply, boot_time()):
             urgent = wanted > known
-            self._changes.notify(URGENT_GAP_S if urgent else TELL_GAP_S)
-        self._seen.notify()
+            self._changes.notify(URGENT_GAP_S if urgent else NOTIFY_GAP_S)
+        self._progress.notify()
 
-    async def wait_seen(self, timeout_s: float) -> None:
+    async def wait_progress(self, timeout_s: float) -> None:
         """Wait until an entry or a replica has said what it knows."""
-        await self._seen.wait(timeout_s)
+        await self._progress.wait(timeout_s)
 
     async def _confirm(self, process: Process) -> None:
         """Wait until each entry in touch knows that a process leaves.
@@ -335,7 +335,7 @@
         generation = discovery.registry.changed_in(process)
         discovery.request_confirmation(generation)
         self._changes.notify(URGENT_GAP_S)
-        give_up_at = boot_time() + CONFIRM_S
+        give_up_at = boot_time() + CONFIRM_TIMEOUT_S
         while True:
             now = boot_time()
             discovery.peers.detect_pause(now)
@@ -353,7 +353,7 @@
                     behind=behind,
                 )
                 raise NotConfirmedError("not every entry has confirmed")
-            await self._seen.wait(give_up_at - now)
+            await self._progress.wait(give_up_at - now)
 
     @property
     def _is_current(self) -> bool:
@@ -362,7 +362,7 @@
             return False
         return self._discovery.is_caught_up(boot_time())
 
-    def _has_news(self, request: WatchRequest) -> bool:
+    def _has_changes(self, request: WatchRequest) -> bool:
         if self._changes.pending:
             return False
         if self._discovery.has_changes(request, boot_time()):
@@ -379,7 +379,7 @@
             return True
         return node.replica.log.membership_index > request.members
 
-    def _refers(self, request: WatchRequest) -> bool:
+    def _should_refer(self, request: WatchRequest) -> bool:
         """Tell whether an entry should first hear of a nearer replica.
 
         At its start it asks any seed. Told all endpoints by one of another
@@ -401,18 +401,20 @@
                 return member.availability_zone == zone
         return False
 
-    def _group(self, node: Node, request: WatchRequest) -> EntryGroup | None:
-        if not _warms_up(node):
+    def _entry_group(
+        self, node: Node, request: WatchRequest
+    ) -> EntryGroup | None:
+        if not _bounds_warm_up(node):
             return None
         return self._discovery.group(request.group, boot_time())
 
-    def _reply(self, request: WatchRequest) -> WatchReply:
+    def _build_reply(self, request: WatchRequest) -> WatchReply:
         discovery = self._discovery
         now = boot_time()
-        refers = self._refers(request)
+        refers = self._should_refer(request)
         reply = WatchReply(
             {} if refers else discovery.deltas(request, now),
-            self.entries,
+            self.entry_count,
             members=request.members,
             unreachable=discovery.unreachable(request, now),
             calls_per_s=discovery.calls_per_s(now),
@@ -425,7 +427,7 @@
         reply = msgspec.structs.replace(
             reply,
             members=max(node.replica.log.membership_index, request.members),
-            replicas=_replicas(node, request.members),
+            replicas=_replicas_since(node, request.members),
         )
         if refers or not self._in_contact():
             # Out of contact it may know an old tree only.
@@ -435,11 +437,11 @@
             tree=tree_changes_since(node, request.index, True),
             quarantine=quarantine_since(node, request.quarantine),
             evacuations=node.machine.evacuations.since(request.evacuations),
-            group=self._group(node, request),
+            group=self._entry_group(node, request),
         )
 
 
-def _warms_up(node: Node) -> bool:
+def _bounds_warm_up(node: Node) -> bool:
     """Tell whether a service bounds the calls to its cold endpoints."""
     for document in node.machine.tree.documents.values():
         for service in document["services"].values():
@@ -448,7 +450,7 @@
     return False
 
 
-def _replicas(node: Node, known: int) -> list[ReplicaInfo] | None:
+def _replicas_since(node: Node, known: int) -> list[ReplicaInfo] | None:
     """List the replicas, if the group changed since a log index."""
     if node.replica.log.membership_index <= known:
         return None
--- a/packages/daemon/nutmegchute_daemon/storages.py
+++ b/packages/daemon/nutmegchute_daemon/storages.py
@@ -12,8 +12,8 @@
 
 from .disks import Disk
 from .errors import StorageError
-from .frames import frame
-from .frames import frame_after
+from .frames import encode_frame
+from .frames import has_frame_after
 from .frames import HEADER_BYTES
 from .frames import read_frame
 
@@ -83,14 +83,14 @@
             for name in names:
                 if name.startswith((SEGMENT, SNAPSHOT)):
                     raise StorageError(
-                        f"{self._disk.place}/{IDENTITY_FILE}: missing "
+                        f"{self._disk.path}/{IDENTITY_FILE}: missing "
                         f"beside {name}"
                     )
             return None
         found: Identity = self._read_one(IDENTITY_FILE, _IDENTITY_DECODER)
         return found
 
-    def keep_identity(self, identity: Identity) -> None:
+    def save_identity(self, identity: Identity) -> None:
         """Make the identity durable.
 
         :raises StorageError: it may not be used
@@ -184,7 +184,7 @@
 
     def _append(self, saved: Saved) -> None:
         segment = self._segments[-1]
-        data = frame(_ENCODER.encode(saved))
+        data = encode_frame(_ENCODER.encode(saved))
         self._disk.append(segment, data)
         self._disk.sync(segment)
         self._synced += len(data)
@@ -246,9 +246,9 @@
         while offset < len(data):
             payload = read_frame(data, offset)
             if payload is None:
-                if not last or frame_after(data, offset):
+                if not last or has_frame_after(data, offset):
                     raise StorageError(
-                        f"{self._disk.place}/{segment}: damaged at byte "
+                        f"{self._disk.path}/{segment}: damaged at byte "
                         f"{offset}"
                     )
                 self._disk.truncate(segment, offset)
@@ -284,14 +284,14 @@
         for entry in later:
             if entry.index != expected:
                 raise StorageError(
-                    f"{self._disk.place}: entry {expected} is missing"
+                    f"{self._disk.path}: entry {expected} is missing"
                 )
             expected += 1
         return later
 
     def _write_one(self, name: str, value: Any) -> None:
         self._disk.remove(NEW_FILE)
-        self._disk.append(NEW_FILE, frame(_ENCODER.encode(value)))
+        self._disk.append(NEW_FILE, encode_frame(_ENCODER.encode(value)))
         self._disk.sync(NEW_FILE)
         self._disk.rename(NEW_FILE, name)
         self._disk.sync_folder()
@@ -303,11 +303,11 @@
             raise self._error(error) from error
         payload = read_frame(data, 0)
         if payload is None:
-            raise StorageError(f"{self._disk.place}/{name}: damaged at byte 0")
+            raise StorageError(f"{self._disk.path}/{name}: damaged at byte 0")
         return decoder.decode(payload)
 
     def _error(self, error: OSError) -> StorageError:
-        return StorageError(f"{self._disk.place}: {error.strerror}")
+        return StorageError(f"{self._disk.path}: {error.strerror}")
 
 
 def open_storage(folder: Path) -> Storage:
--- a/packages/fakes/nutmegchute_fakes/disks.py
+++ b/packages/fakes/nutmegchute_fakes/disks.py
@@ -48,7 +48,7 @@
         self.syncs = 0
 
     @property
-    def place(self) -> str:
+    def path(self) -> str:
         """Name the folder, for error messages."""
         return "fake"
 
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -284,7 +284,7 @@
         identity = self._storage.identity()
         if identity is None:
             identity = Identity(f"{self.name}.{self._seed}.{self.starts}")
-            self._storage.keep_identity(identity)
+            self._storage.save_identity(identity)
         self._identity = identity
         member = Member(identity.identity, self.name, self.name)
         self._formation = Formation(member, self._cluster.names)
@@ -314,7 +314,7 @@
             return
         own = self._identity.identity
         self._identity = Identity(own, found.group, found.genesis)
-        self._storage.keep_identity(self._identity)
+        self._storage.save_identity(self._identity)
         self._start_node()
 
     def _introduce(self, start: int) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -107,7 +107,7 @@
     def commit(self, index: int) -> None:
         """Apply a committed change."""
         self.tree.index = max(self.tree.index, index)
-        self.registrar.tell()
+        self.registrar.notify_long_polls()
 
     def _node(self) -> SimpleNamespace:
         members = self._cluster.members
@@ -125,7 +125,7 @@
 
     def _expire(self) -> None:
         self.registrar.expire()
-        self.exchange.meet()
+        self.exchange.update_peers()
 
     def _check_contact(self) -> None:
         if self._cluster.reaches_majority(self.address):
@@ -386,7 +386,7 @@
             usable = replica.registrar.resolve(zone)
             assert len(usable) == 3
             assert len(replica.registrar.resolve(None)) == 15
-            assert replica.registrar.entries == 15
+            assert replica.registrar.entry_count == 15
 
     run_scenario(small, scenario)
 
--- a/tests/test_recollections.py
+++ b/tests/test_endpoint_files.py
@@ -6,8 +6,8 @@
 import pytest
 from nutmegchute_core.members import Announcement
 from nutmegchute_daemon.disks import Disk
-from nutmegchute_daemon.recollections import ENDPOINTS_FILE
-from nutmegchute_daemon.recollections import Recollection
+from nutmegchute_daemon.endpoint_files import EndpointFile
+from nutmegchute_daemon.endpoint_files import ENDPOINTS_FILE
 from nutmegchute_daemon.registrars import Registrar
 
 ENDPOINT = Announcement("prestamos", "10.0.0.1:80", "surco", 3, 0)
@@ -20,9 +20,9 @@
 
 async def keep(disk: Disk, owner: Registrar) -> None:
     """Write what a registrar knows."""
-    recollection = Recollection(disk, owner)
-    owner.recall([ENDPOINT])
-    recollection.keep()
+    endpoint_file = EndpointFile(disk, owner)
+    owner.restore_endpoints([ENDPOINT])
+    endpoint_file.save()
     await asyncio.gather(*asyncio.all_tasks() - {asyncio.current_task()})
 
 
@@ -31,14 +31,14 @@
     disk = Disk(tmp_path)
     asyncio.run(keep(disk, registrar()))
     after = registrar()
-    Recollection(disk, after).load()
+    EndpointFile(disk, after).load()
     assert after.present() == [ENDPOINT]
 
 
 def test_first_start_recalls_nothing(tmp_path: Path) -> None:
     """Start without a list."""
     owner = registrar()
-    Recollection(Disk(tmp_path), owner).load()
+    EndpointFile(Disk(tmp_path), owner).load()
     assert owner.present() == []
 
 
@@ -47,7 +47,7 @@
     """Start although the list cannot be read: it is only a help."""
     (tmp_path / ENDPOINTS_FILE).write_bytes(data)
     owner = registrar()
-    Recollection(Disk(tmp_path), owner).load()
+    EndpointFile(Disk(tmp_path), owner).load()
     assert owner.present() == []
 
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -41,7 +41,7 @@
 class FakeStorage:
     """Keep an identity in memory."""
 
-    def keep_identity(self, identity: Identity) -> None:
+    def save_identity(self, identity: Identity) -> None:
         """Keep it."""
         self.identity = identity
 
--- a/tests/test_quorums.py
+++ b/tests/test_quorums.py
@@ -44,8 +44,8 @@
 def test_voters_are_told_once(lines: Lines) -> None:
     """Log the voters after a start, and again only when they change."""
     report = QuorumReport(0.0)
-    report.note(replica(), 0.1)
-    report.note(replica(), 0.2)
+    report.update(replica(), 0.1)
+    report.update(replica(), 0.2)
     assert lines == [
         (
             Event.VOTERS_CHANGED,
@@ -69,9 +69,9 @@
     one.tick(1.0)
     one.receive(VoteReply("b.1", "a.1", 4, True, True), 1.0)
     report = QuorumReport(0.0)
-    report.note(one, 1.0)
-    report.note(one, LEADERLESS_S)
-    report.note(one, LEADERLESS_S + 0.5)
+    report.update(one, 1.0)
+    report.update(one, LEADERLESS_S)
+    report.update(one, LEADERLESS_S + 0.5)
     told = [fields for event, fields in lines if event is Event.LEADERLESS]
     assert told == [
         {
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -165,7 +165,7 @@
 def test_lost_identity_beside_a_log_is_refused(tmp_path: Path) -> None:
     """A log without its identity must not vote under a new name."""
     storage = open_storage(tmp_path)
-    storage.keep_identity(Identity("r1"))
+    storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
     assert storage.identity() == Identity("r1")
     storage.close()
@@ -186,7 +186,7 @@
     def run(self) -> None:
         """Save, replace a tail, compact, install; a power cut ends it."""
         storage = Storage(self._disk)  # type: ignore[arg-type]
-        storage.keep_identity(Identity("r1"))
+        storage.save_identity(Identity("r1"))
         self.identity = Identity("r1")
         storage.load(GENESIS)
         for term in (1, 2, 3):
@@ -265,7 +265,7 @@
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
-    storage.keep_identity(Identity("r1"))
+    storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
     storage.save(HardState(1, "r1"), ENTRIES[:2])
     disk.full = True
@@ -287,7 +287,7 @@
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
-    storage.keep_identity(Identity("r1"))
+    storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
     storage.save(None, ENTRIES[:2])
     disk.failing_syncs = 1
@@ -305,7 +305,7 @@
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
-    storage.keep_identity(Identity("r1"))
+    storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
     storage.save(HardState(1, None), ENTRIES)
     disk.power_cut_after = 6
@@ -329,7 +329,7 @@
     """
     disk = FakeDisk(operations)
     storage = Storage(disk)  # type: ignore[arg-type]
-    storage.keep_identity(Identity("r1"))
+    storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
     storage.save(HardState(2, None), ENTRIES)
     storage = Storage(disk)  # type: ignore[arg-type]
