--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -180,7 +180,7 @@
         """Leave the directory, serve those who still come, end the calls."""
         self._leaving = True
         log(Event.DRAINING)
-        self._watcher.poke()
+        self._watcher.renew()
         # Callers keep an answer of the directory for a while. Those who
         # come meanwhile are served; each answer closes its connection.
         self._http.disable_keep_alive()
@@ -207,7 +207,7 @@
     def reload(self, settings: Settings) -> None:
         """Take seeds and limits from settings that have changed."""
         super().reload(settings)
-        self._watcher.seed(settings.seeds)
+        self._watcher.replace_seeds(settings.seeds)
         self._share_extra()
         self._share_inquiries()
         self._bound_warm_ups()
@@ -283,7 +283,7 @@
             log(Event.INSTANCE_GONE, instance=instance)
             self._update_upstreams()
 
-    def question(self, hold_s: float) -> WatchRequest:
+    def build_request(self, hold_s: float) -> WatchRequest:
         """Build the question for a control replica."""
         word = EntryInfo(
             self._settings.name,
@@ -304,7 +304,7 @@
             self._balancer.warm_ups.digest,
         )
 
-    def hear(self, replica: str, reply: WatchReply) -> None:
+    def handle_reply(self, replica: str, reply: WatchReply) -> None:
         """Take a control replica's answer."""
         ready = self.ready
         # What was under way while this process stood still is old.
@@ -334,7 +334,7 @@
         if changed:
             self._update_upstreams()
         if self.ready != ready:
-            self._watcher.poke()
+            self._watcher.renew()
         self._release()
 
     def _count(self, reply: WatchReply) -> None:
@@ -349,7 +349,7 @@
         if paused_s is None:
             return False
         log(Event.PAUSED, "warning", paused_s=round(paused_s, 3))
-        self._watcher.poke()
+        self._watcher.renew()
         return True
 
     def _release(self) -> None:
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -38,10 +38,10 @@
 class Asking(Protocol):
     """Describe the entry that watches."""
 
-    def question(self, hold_s: float) -> WatchRequest:
+    def build_request(self, hold_s: float) -> WatchRequest:
         """Build the question."""
 
-    def hear(self, replica: str, reply: WatchReply) -> None:
+    def handle_reply(self, replica: str, reply: WatchReply) -> None:
         """Take a replica's answer."""
 
 
@@ -75,7 +75,7 @@
         """Begin to ask."""
         self._task = asyncio.ensure_future(self._run())
 
-    def seed(self, seeds: list[str]) -> None:
+    def replace_seeds(self, seeds: list[str]) -> None:
         """Take other seeds, from settings that have changed."""
         self._chooser.set_seeds(seeds)
 
@@ -83,7 +83,7 @@
         """Take the replicas that the group consists of now."""
         self._chooser.update(replicas)
 
-    def poke(self) -> None:
+    def renew(self) -> None:
         """Ask anew at once: this entry has something to say."""
         if self._pending is not None:
             self._pending.cancel()
@@ -138,7 +138,7 @@
 
     def _hear(self, address: str, reply: WatchReply) -> None:
         try:
-            self._asking.hear(address, reply)
+            self._asking.handle_reply(address, reply)
         except Exception:
             # Were the watcher to end with it, this entry would keep its
             # configuration and endpoints for good and serve on by them.
@@ -152,7 +152,7 @@
     async def _ask(self, address: str, hold_s: float) -> WatchReply | None:
         timeout_s = WATCH_MARGIN_S + hold_s
         while True:
-            request = self._asking.question(hold_s)
+            request = self._asking.build_request(hold_s)
             self._pending = asyncio.ensure_future(
                 self._links.send_request(address, WATCH, request, timeout_s)
             )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -149,7 +149,7 @@
         chooser = ReplicaChooser(name, zone, cluster.seeds)
         self.watcher = Watcher(chooser, links, self)
 
-    def question(self, hold_s: float) -> WatchRequest:
+    def build_request(self, hold_s: float) -> WatchRequest:
         """Build the watch request."""
         info = EntryInfo(self.name, f"{self.name}:80", self.zone)
         watermarks = self.catalog.watermarks
@@ -157,7 +157,7 @@
             info, watermarks, self.index, self._members, hold_s
         )
 
-    def hear(self, replica: str, reply: WatchReply) -> None:
+    def handle_reply(self, replica: str, reply: WatchReply) -> None:
         """Apply a reply."""
         now = asyncio.get_running_loop().time()
         if reply.replicas is not None:
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -55,12 +55,12 @@
 class Asking:
     """Stand for an entry."""
 
-    def question(self, hold_s: float) -> WatchRequest:
+    def build_request(self, hold_s: float) -> WatchRequest:
         """Build a question."""
         word = EntryInfo("r1", "10.1.0.9:80", ZONE)
         return WatchRequest(word, {}, 0, 0, hold_s)
 
-    def hear(self, replica: str, reply: WatchReply) -> None:
+    def handle_reply(self, replica: str, reply: WatchReply) -> None:
         """Take an answer."""
 
 
