--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -1,4 +1,4 @@
-"""Ask a control replica for what changed, on an entry."""
+"""Watch a control replica for changes, on an entry."""
 
 import asyncio
 from traceback import format_exc
@@ -16,42 +16,41 @@
 from .links import Links
 from .methods import WATCH
 
-# What a held question may take beyond the hold before its connection counts
-# as silent and another replica is asked: a way there and back and a busy
-# replica.
+# How long beyond its hold a request may take before its connection counts as
+# broken and another replica is tried. Covers a round trip and a busy replica.
 WATCH_MARGIN_S = 0.6
-# The pause before another replica is asked, growing while none answers.
+# Delay before the next replica is tried; it grows while none answers.
 RETRY_S = 0.15
-RETRY_MOST_S = 1.0
-# Before any replica's first answer, and for so many tries, a connection must
-# stand within this time. After a loss of power an entry may be back before
-# control is, and the first packet to a vm without power is lost: TCP sends
-# it again after a second. In a margin as long as above entries stood 0.4 s
-# without a configuration that others had. The answer itself is not hurried:
-# a hundred entries ask a replica that has just started, and each that gave
-# up and connected anew would make it slower.
+MAX_RETRY_S = 1.0
+# Connection timeout until any replica has replied, for FIRST_TRIES tries.
+# After a power failure an entry may start before control does. Its first
+# packet is then lost, and TCP resends it only after a second: with
+# WATCH_MARGIN_S as the timeout, entries had no configuration for 0.4 s longer
+# than others. The reply has no such short timeout: a hundred entries request
+# one from a replica that has just started, and each that timed out and
+# reconnected would slow it down further.
 FIRST_TIMEOUT_S = 0.2
 FIRST_RETRY_S = 0.05
 FIRST_TRIES = 20
 
 
-class Asking(Protocol):
-    """Describe the entry that watches."""
+class WatchingEntry(Protocol):
+    """Build the requests and handle the replies of a watcher."""
 
     def build_request(self, hold_s: float) -> WatchRequest:
-        """Build the question."""
+        """Build the next request."""
 
     def handle_reply(self, replica: str, reply: WatchReply) -> None:
-        """Take a replica's answer."""
+        """Apply the reply of a replica."""
 
 
 class Watcher:
-    """Hold an open question at one control replica at a time."""
+    """Keep a long poll open at one control replica at a time."""
 
     __slots__ = (
-        "_asking",
-        "_failures",
         "_chooser",
+        "_entry",
+        "_failures",
         "_links",
         "_lost",
         "_pending",
@@ -60,11 +59,11 @@
     )
 
     def __init__(
-        self, chooser: ReplicaChooser, links: Links, asking: Asking
+        self, chooser: ReplicaChooser, links: Links, entry: WatchingEntry
     ) -> None:
         self._chooser = chooser
         self._links = links
-        self._asking = asking
+        self._entry = entry
         self._lost = False
         self._reached = False
         self._failures = 0
@@ -72,24 +71,24 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start the task that sends requests."""
         self._task = asyncio.ensure_future(self._run())
 
     def replace_seeds(self, seeds: list[str]) -> None:
-        """Take other seeds, from settings that have changed."""
+        """Replace the seeds by those of changed settings."""
         self._chooser.set_seeds(seeds)
 
     def update(self, replicas: list[ReplicaInfo]) -> None:
-        """Take the replicas that the group consists of now."""
+        """Replace the replicas by the present members of the group."""
         self._chooser.update(replicas)
 
     def renew(self) -> None:
-        """Ask anew at once: this entry has something to say."""
+        """Replace the held request by a new one that sends a change."""
         if self._pending is not None:
             self._pending.cancel()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
@@ -99,27 +98,27 @@
             hold_s = WATCH_HOLD_S if address == self._chooser.active else 0.0
             reply = None
             if await self._connect(address):
-                reply = await self._ask(address, hold_s)
+                reply = await self._request(address, hold_s)
             if reply is None:
-                await self._fail(address)
+                await self._handle_failure(address)
                 continue
             self._reached = True
             self._chooser.record_answer(address, reply.current, boot_time())
-            self._report(address, lost=not reply.current)
-            self._hear(address, reply)
+            self._report_contact(address, lost=not reply.current)
+            self._handle_reply(address, reply)
             if reply.current:
                 self._failures = 0
                 continue
-            # Where none is in contact, each answers at once.
+            # A replica out of contact replies without a hold.
             await asyncio.sleep(RETRY_S)
 
-    async def _fail(self, address: str) -> None:
+    async def _handle_failure(self, address: str) -> None:
         self._failures += 1
         self._chooser.record_failure(address, boot_time())
-        self._report(address, lost=True)
+        self._report_contact(address, lost=True)
         self._links.drop(address)
         if self._chooser.active is None:
-            await asyncio.sleep(self._pause_s())
+            await asyncio.sleep(self._retry_delay_s())
 
     @property
     def _is_first(self) -> bool:
@@ -130,18 +129,18 @@
             return True
         return await self._links.open(address, FIRST_TIMEOUT_S)
 
-    def _pause_s(self) -> float:
+    def _retry_delay_s(self) -> float:
         if self._is_first:
             return FIRST_RETRY_S
-        # Another replica is asked next: the first of them without delay.
-        return min(RETRY_MOST_S, RETRY_S * (self._failures - 1))
+        # After the first failure the next replica is tried without delay.
+        return min(MAX_RETRY_S, RETRY_S * (self._failures - 1))
 
-    def _hear(self, address: str, reply: WatchReply) -> None:
+    def _handle_reply(self, address: str, reply: WatchReply) -> None:
         try:
-            self._asking.handle_reply(address, reply)
+            self._entry.handle_reply(address, reply)
         except Exception:
-            # Were the watcher to end with it, this entry would keep its
-            # configuration and endpoints for good and serve on by them.
+            # If this ended the task, the entry would never again update its
+            # configuration and endpoints, and would serve by stale ones.
             log(
                 Event.WORD_FAILED,
                 "error",
@@ -149,19 +148,19 @@
                 trace=format_exc(),
             )
 
-    async def _ask(self, address: str, hold_s: float) -> WatchReply | None:
+    async def _request(self, address: str, hold_s: float) -> WatchReply | None:
         timeout_s = WATCH_MARGIN_S + hold_s
         while True:
-            request = self._asking.build_request(hold_s)
+            request = self._entry.build_request(hold_s)
             self._pending = asyncio.ensure_future(
                 self._links.send_request(address, WATCH, request, timeout_s)
             )
             await asyncio.wait([self._pending])
             if not self._pending.cancelled():
                 return self._pending.result()
-            # Cancelled by a poke: the same question with other words.
+            # Cancelled by renew(): send the present state instead.
 
-    def _report(self, address: str, lost: bool) -> None:
+    def _report_contact(self, address: str, lost: bool) -> None:
         if lost == self._lost:
             return
         self._lost = lost
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -1,4 +1,4 @@
-"""Ask control replicas for news, on an entry."""
+"""Watch control replicas from an entry whose links are scripted."""
 
 import asyncio
 from typing import Any
@@ -19,58 +19,58 @@
 
 
 class FakeLinks:
-    """Answer questions by a script and note how long each may take."""
+    """Return scripted replies and record the timeouts."""
 
-    def __init__(self, *answers: WatchReply | None) -> None:
-        self.answers = list(answers)
+    def __init__(self, *replies: WatchReply | None) -> None:
+        self.replies = list(replies)
         self.opened: list[float] = []
         self.timeouts: list[float] = []
         self.dropped = 0
         self.done = asyncio.Event()
 
     async def open(self, address: str, timeout_s: float) -> bool:
-        """Take the connection, unless the next answer is none."""
+        """Connect unless the next reply is None."""
         self.opened.append(timeout_s)
-        if self.answers and self.answers[0] is None:
-            self.answers.pop(0)
+        if self.replies and self.replies[0] is None:
+            self.replies.pop(0)
             return False
         return True
 
     async def send_request(
         self, address: str, method: Any, request: Any, timeout_s: float
     ) -> WatchReply | None:
-        """Give the next answer, then none for ever."""
+        """Return the next reply; after the last one, block."""
         self.timeouts.append(timeout_s)
-        if self.answers:
-            return self.answers.pop(0)
+        if self.replies:
+            return self.replies.pop(0)
         self.done.set()
         await asyncio.Event().wait()
         return None
 
     def drop(self, address: str) -> None:
-        """Count the connections given up."""
+        """Count the closed connections."""
         self.dropped += 1
 
 
-class Asking:
-    """Stand for an entry."""
+class FakeEntry:
+    """Build requests and ignore replies."""
 
     def build_request(self, hold_s: float) -> WatchRequest:
-        """Build a question."""
-        word = EntryInfo("r1", "10.1.0.9:80", ZONE)
-        return WatchRequest(word, {}, 0, 0, hold_s)
+        """Build a request without any state."""
+        info = EntryInfo("r1", "10.1.0.9:80", ZONE)
+        return WatchRequest(info, {}, 0, 0, hold_s)
 
     def handle_reply(self, replica: str, reply: WatchReply) -> None:
-        """Take an answer."""
+        """Ignore the reply."""
 
 
-def play(*answers: WatchReply | None) -> FakeLinks:
-    """Let a watcher ask until the script is over."""
+def run_watcher(*replies: WatchReply | None) -> FakeLinks:
+    """Run a watcher until all scripted replies are used."""
 
     async def run() -> FakeLinks:
-        links = FakeLinks(*answers)
+        links = FakeLinks(*replies)
         chooser = ReplicaChooser("r1", ZONE, [ADDRESS])
-        watcher = Watcher(chooser, cast(Links, links), Asking())
+        watcher = Watcher(chooser, cast(Links, links), FakeEntry())
         watcher.start()
         await links.done.wait()
         watcher.stop()
@@ -79,43 +79,43 @@
     return asyncio.run(run())
 
 
-def test_first_questions_are_given_up_soon() -> None:
-    """Open another connection soon while a replica has never answered.
+def test_first_connections_time_out_soon() -> None:
+    """Retry connections after a short timeout until the first reply.
 
-    After a loss of power an entry starts before control has power again.
-    Its first packet is lost and TCP sends it again after a second; entries
-    that waited for that had no configuration while others served.
+    After a power failure an entry may start before control does. Its first
+    packet is lost and TCP resends it after a second; entries that waited for
+    that had no configuration while others served.
     """
-    links = play(None, None)
+    links = run_watcher(None, None)
     assert links.opened == [FIRST_TIMEOUT_S] * 3
     assert links.dropped == 2
 
 
-def test_held_questions_are_given_the_time_they_are_held() -> None:
-    """Wait out the hold of a replica that has answered before."""
+def test_timeout_of_a_held_request_includes_the_hold() -> None:
+    """Add the hold to the timeout once a replica has replied."""
     reply = WatchReply({}, 1)
-    links = play(None, reply, reply)
+    links = run_watcher(None, reply, reply)
     held = WATCH_MARGIN_S + WATCH_HOLD_S
     assert links.opened == [FIRST_TIMEOUT_S] * 2
     assert links.timeouts == [WATCH_MARGIN_S, held, held]
 
 
-def test_lost_replica_is_not_asked_in_haste_for_ever() -> None:
-    """Ask a replica that was reached once as one that may be cut off."""
+def test_lost_replica_gets_the_usual_timeout() -> None:
+    """Keep the usual timeout for a replica that has replied before."""
     reply = WatchReply({}, 1)
-    links = play(reply, None)
+    links = run_watcher(reply, None)
     assert links.timeouts[-1] == WATCH_MARGIN_S
     assert links.dropped == 1
 
 
 def test_slow_replica_keeps_its_first_connection() -> None:
-    """Wait for the first answer of a replica that took the connection.
+    """Wait longer for the first reply of a replica that is connected.
 
-    All power was lost, and a hundred entries ask a replica that has just
-    started. Each that gave up after a fifth of a second and connected anew
-    would cost it as much as an answer, and none would be answered.
+    After a power failure a hundred entries send requests to a replica that
+    has just started. Reconnecting after a fifth of a second would cost it as
+    much as a reply, and no entry would get one.
     """
-    links = play(WatchReply({}, 1))
+    links = run_watcher(WatchReply({}, 1))
     assert links.opened == [FIRST_TIMEOUT_S]
     assert links.timeouts[0] == WATCH_MARGIN_S
     assert links.dropped == 0
