--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -151,7 +151,7 @@
         """Leave the directory, outlast every answer, end the calls."""
         self._directory.drain()
         log(Event.DRAINING)
-        await self._gossiper.spread()
+        await self._gossiper.exchange_all()
         # A caller may have been given this address a moment ago and may
         # keep it that long; closing earlier would refuse its connection.
         await asyncio.sleep(self._settings.entries_keep_s + KEEP_MARGIN_S)
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -1,4 +1,4 @@
-"""Exchange with the other entries what each has heard."""
+"""Exchange live endpoints and entries with the other entries."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,37 +22,38 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True):
-    """Carry one entry's word to another.
+    """Carry one entry's state to another.
 
-    ``demand`` maps availability zones to the callers that asked lately.
+    ``demand`` maps availability zones to their callers' recent lookups of
+    entries; ``message`` carries the endpoints that announce to the sender.
     """
 
-    word: EntryInfo
+    entry: EntryInfo
     grpc_address: str
     demand: dict[str, float]
-    vouch: GossipMessage
+    message: GossipMessage
 
 
 EXCHANGE = Method("Membership", "Exchange", Gossip, Gossip)
 
 
 class Gossiper:
-    """Spread this entry's word and hear the others'.
+    """Exchange this entry's state with that of the other entries.
 
-    A pair of entries exchanges words every GOSSIP_S, by whichever of the
-    two is first; a change of the own set goes out with the next tick.
+    Each pair of entries exchanges messages every GOSSIP_S; whichever is due
+    first sends the request. A change of the own set is sent at the next tick.
     """
 
     __slots__ = (
         "_directory",
-        "_exchanged",
+        "_exchanged_at",
         "_links",
+        "_live_version",
         "_members",
         "_names",
         "_on_change",
+        "_sent_state",
         "_settings",
-        "_spread",
-        "_stamp",
         "_tasks",
     )
 
@@ -69,42 +70,42 @@
         self._members = members
         self._directory = directory
         self._on_change = on_change
-        self._exchanged: dict[str, float] = {}
+        self._exchanged_at: dict[str, float] = {}
         self._names: dict[str, str] = {}
-        self._spread = (members.generation, False)
-        self._stamp: tuple[object, ...] = ()
+        self._sent_state = (members.generation, False)
+        self._live_version: tuple[object, ...] = ()
         self._tasks: set[asyncio.Task[None]] = set()
         links.serve(EXCHANGE, self._on_gossip)
 
     def tick(self) -> None:
-        """Expire what lapsed and exchange with the entries that are due."""
+        """Expire leases and start the exchanges that are due."""
         now = boot_time()
         self._members.expire(now)
         self._directory.expire(now)
         state = (self._members.generation, self._directory.own.draining)
-        urgent = state != self._spread
-        self._spread = state
+        urgent = state != self._sent_state
+        self._sent_state = state
         for address in self._peers():
-            due_at = self._exchanged.get(address, 0.0) + GOSSIP_S
+            due_at = self._exchanged_at.get(address, 0.0) + GOSSIP_S
             if self._settings.grpc_address > address:
-                # Both are due at the same moment, time after time; without
-                # this each would ask the other.
+                # Both entries of a pair are due at the same time; without
+                # this delay each would send a request to the other.
                 due_at += YIELD_S
             if urgent or now >= due_at:
                 self._start(address, now)
         self.refresh()
 
     def refresh(self) -> None:
-        """Report the live endpoints when they have changed."""
+        """Pass the live endpoints to ``on_change`` if they have changed."""
         now = boot_time()
-        stamp = self._members.version(now)
-        if stamp == self._stamp:
+        current = self._members.version(now)
+        if current == self._live_version:
             return
-        self._stamp = stamp
+        self._live_version = current
         self._on_change(self._members.live(now))
 
-    async def spread(self) -> None:
-        """Exchange words with every other entry once."""
+    async def exchange_all(self) -> None:
+        """Exchange messages with every other entry once."""
         await asyncio.gather(*map(self._exchange, self._peers()))
 
     def _peers(self) -> list[str]:
@@ -112,46 +113,46 @@
         return [one for one in self._settings.entries if one != own]
 
     def _start(self, address: str, now: float) -> None:
-        self._exchanged[address] = now
+        self._exchanged_at[address] = now
         task = asyncio.create_task(self._exchange(address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _exchange(self, address: str) -> None:
-        gossip = self._gossip(self._names.get(address, ""))
+        gossip = self._build_gossip(self._names.get(address, ""))
         reply = await self._links.send_request(
             address, EXCHANGE, gossip, TIMEOUT_S
         )
         if reply is not None:
-            self._hear(reply)
+            self._receive(reply)
             return
-        # Callers must not be sent to a vm that is gone; should only the
-        # link be cut, the next exchange takes the entry in again.
+        # The entry's vm may be down: stop returning it to callers. If only
+        # the connection failed, the next exchange adds the entry again.
         self._directory.remove(self._names.get(address, ""))
 
     async def _on_gossip(self, gossip: Gossip) -> Gossip:
-        self._hear(gossip)
-        return self._gossip(gossip.word.name)
+        self._receive(gossip)
+        return self._build_gossip(gossip.entry.name)
 
-    def _gossip(self, peer_name: str) -> Gossip:
+    def _build_gossip(self, peer_name: str) -> Gossip:
         now = boot_time()
         return Gossip(
-            word=self._directory.own,
+            entry=self._directory.own,
             grpc_address=self._settings.grpc_address,
             demand=self._directory.demand(now),
-            vouch=self._members.build_message(peer_name, now),
+            message=self._members.build_message(peer_name, now),
         )
 
-    def _hear(self, gossip: Gossip) -> None:
+    def _receive(self, gossip: Gossip) -> None:
         now = boot_time()
-        name = gossip.word.name
+        name = gossip.entry.name
         self._names[gossip.grpc_address] = name
-        dated_at = self._members.receive(name, gossip.vouch, now)
-        if dated_at is None:
-            # The other entry is new to this one, or the other way round:
-            # only the next exchange can be dated, so it comes at once.
-            self._exchanged.pop(gossip.grpc_address, None)
+        valid_at = self._members.receive(name, gossip.message, now)
+        if valid_at is None:
+            # One of the two entries is new to the other. Only the next
+            # exchange can be dated, so make it due at once.
+            self._exchanged_at.pop(gossip.grpc_address, None)
             return
-        self._exchanged[gossip.grpc_address] = now
-        self._directory.update(gossip.word, gossip.demand, dated_at)
+        self._exchanged_at[gossip.grpc_address] = now
+        self._directory.update(gossip.entry, gossip.demand, valid_at)
         self.refresh()
--- a/tests/test_gossips.py
+++ b/tests/test_gossips.py
@@ -1,4 +1,4 @@
-"""Exchange words between entries on virtual time."""
+"""Exchange gossip between entries on virtual time."""
 
 import asyncio
 from typing import Any
@@ -22,38 +22,38 @@
 
 
 class Network:
-    """Carry words between the entries that are up, and count them."""
+    """Deliver requests to the entries that are up and record them."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, Any] = {}
         self.down: set[str] = set()
-        self.words: list[Gossip] = []
+        self.requests: list[Gossip] = []
 
 
 class FakeLinks:
-    """Stand for one entry's links."""
+    """Replace the links of one entry."""
 
     def __init__(self, network: Network, address: str) -> None:
         self._network = network
         self._address = address
 
     def serve(self, method: Any, handler: Any) -> None:
-        """Answer by the handler."""
+        """Register the handler of requests."""
         self._network.handlers[self._address] = handler
 
     async def send_request(
-        self, address: str, method: Any, word: Gossip, timeout_s: float
+        self, address: str, method: Any, gossip: Gossip, timeout_s: float
     ) -> Gossip | None:
-        """Ask an entry; one that is down does not answer."""
-        self._network.words.append(word)
+        """Send a request; an entry that is down does not reply."""
+        self._network.requests.append(gossip)
         if address in self._network.down:
             return None
-        answer: Gossip = await self._network.handlers[address](word)
-        return answer
+        reply: Gossip = await self._network.handlers[address](gossip)
+        return reply
 
 
 class Entry:
-    """Hold one entry's membership."""
+    """Hold the roster, directory and gossiper of one entry."""
 
     def __init__(self, network: Network, number: int) -> None:
         address = f"10.0.1.{number}:1"
@@ -77,15 +77,15 @@
             links=links,
             members=self.roster,
             directory=self.directory,
-            on_change=self.take,
+            on_change=self.record_live,
         )
 
-    def take(self, live: list[Announcement]) -> None:
-        """Remember the endpoints reported last."""
+    def record_live(self, live: list[Announcement]) -> None:
+        """Record the endpoints reported last."""
         self.live = live
 
 
-class Town:
+class Simulation:
     """Run all entries on one virtual clock."""
 
     def __init__(self) -> None:
@@ -94,7 +94,7 @@
         self.entries = [Entry(self.network, n) for n in range(ENTRIES)]
 
     async def run(self, seconds: float) -> None:
-        """Let the entries tick."""
+        """Tick every entry that is up."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             for entry in self.entries:
@@ -105,72 +105,80 @@
                 await asyncio.sleep(0)
 
     def usable(self, number: int) -> list[str]:
-        """Name the entries that one entry gives to callers."""
-        words = self.entries[number].directory.usable(self.now)
-        return [word.name for word in words]
+        """Return the names of the entries that one returns to callers."""
+        usable = self.entries[number].directory.usable(self.now)
+        return [info.name for info in usable]
 
 
 @pytest.fixture
-def town(monkeypatch: pytest.MonkeyPatch) -> Town:
+def simulation(monkeypatch: pytest.MonkeyPatch) -> Simulation:
     """Build three entries that gossip on virtual time."""
-    found = Town()
+    found = Simulation()
     monkeypatch.setattr(gossips, "boot_time", lambda: found.now)
     return found
 
 
-def test_a_pair_exchanges_once_in_a_period(town: Town) -> None:
-    """Send at rest no more than a word a pair and period, and its answer."""
+def test_pair_exchanges_once_per_period(simulation: Simulation) -> None:
+    """Send one request per pair and period while nothing changes."""
 
     async def scenario() -> None:
-        await town.run(3 * GOSSIP_S)
-        town.network.words.clear()
-        await town.run(10 * GOSSIP_S)
+        await simulation.run(3 * GOSSIP_S)
+        simulation.network.requests.clear()
+        await simulation.run(10 * GOSSIP_S)
 
     asyncio.run(scenario())
     pairs = ENTRIES * (ENTRIES - 1) // 2
-    assert len(town.network.words) <= pairs * 10
-    assert len(town.network.words) >= pairs * 8
-    assert all(not word.vouch.changed for word in town.network.words)
+    assert len(simulation.network.requests) <= pairs * 10
+    assert len(simulation.network.requests) >= pairs * 8
+    assert all(not one.message.changed for one in simulation.network.requests)
 
 
-def test_a_change_is_known_with_the_next_ticks(town: Town) -> None:
-    """Pass on an arrival and a drain at once."""
+def test_change_is_sent_with_the_next_tick(simulation: Simulation) -> None:
+    """Send a new endpoint and its drain without waiting for the period."""
 
     async def scenario() -> None:
-        await town.run(3 * GOSSIP_S)
+        await simulation.run(3 * GOSSIP_S)
         for state in ("up", "draining"):
-            word = announcement(A, state=state)
-            town.entries[0].roster.announce(word, town.now)
-            await town.run(2 * TICK_S)
-            for entry in town.entries:
+            announced = announcement(A, state=state)
+            simulation.entries[0].roster.announce(announced, simulation.now)
+            await simulation.run(2 * TICK_S)
+            for entry in simulation.entries:
                 assert [one.state for one in entry.live] == [state]
 
     asyncio.run(scenario())
 
 
-def test_a_dead_entry_leaves_the_answers(town: Town) -> None:
-    """Name an entry no more once it did not answer, until it does."""
+def test_unreachable_entry_is_not_returned_to_callers(
+    simulation: Simulation,
+) -> None:
+    """Omit an entry that did not reply until it replies again."""
 
     async def scenario() -> None:
-        await town.run(3 * GOSSIP_S)
-        assert town.usable(0) == ["entry-0", "entry-1", "entry-2"]
-        town.network.down.add(SEEDS[2])
-        await town.run(GOSSIP_S + 2 * TICK_S)
-        assert town.usable(0) == ["entry-0", "entry-1"]
-        town.network.down.clear()
-        await town.run(2 * GOSSIP_S)
-        assert town.usable(0) == ["entry-0", "entry-1", "entry-2"]
+        await simulation.run(3 * GOSSIP_S)
+        assert simulation.usable(0) == ["entry-0", "entry-1", "entry-2"]
+        simulation.network.down.add(SEEDS[2])
+        await simulation.run(GOSSIP_S + 2 * TICK_S)
+        assert simulation.usable(0) == ["entry-0", "entry-1"]
+        simulation.network.down.clear()
+        await simulation.run(2 * GOSSIP_S)
+        assert simulation.usable(0) == ["entry-0", "entry-1", "entry-2"]
 
     asyncio.run(scenario())
 
 
-def test_a_draining_entry_leaves_the_answers_at_once(town: Town) -> None:
-    """Tell the others of the drain before the next period."""
+def test_draining_entry_is_not_returned_to_callers(
+    simulation: Simulation,
+) -> None:
+    """Send the drain to the other entries before the next period."""
 
     async def scenario() -> None:
-        await town.run(3 * GOSSIP_S)
-        town.entries[1].directory.drain()
-        await town.run(2 * TICK_S)
-        assert town.usable(0) == town.usable(2) == ["entry-0", "entry-2"]
+        await simulation.run(3 * GOSSIP_S)
+        simulation.entries[1].directory.drain()
+        await simulation.run(2 * TICK_S)
+        assert (
+            simulation.usable(0)
+            == simulation.usable(2)
+            == ["entry-0", "entry-2"]
+        )
 
     asyncio.run(scenario())
