--- a/packages/daemon/nutmegchute_daemon/answers.py
+++ b/packages/daemon/nutmegchute_daemon/answers.py
@@ -50,7 +50,7 @@
     def check(self, sent: HTTPHeaderDict, response: HTTPResponse) -> None:
         """Look for signs that the answer is not that of what was sent.
 
-        :raises CutAnswerError: it is another's, or promises what is false
+        :raises BrokenAnswerError: it is another's, or promises what is false
         """
 
     def is_misdirected(self, response: HTTPResponse) -> bool:
--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -68,7 +68,7 @@
 
     __slots__ = (
         "_active",
-        "_form",
+        "_format",
         "_lock",
         "_most",
         "_name",
@@ -89,10 +89,10 @@
         name: str,
         body_bytes: int,
         threads: int,
-        form: CallFormat | None = None,
+        call_format: CallFormat | None = None,
     ) -> None:
         self.dispatcher: CallTaker
-        self._form = form or CallFormat()
+        self._format = call_format or CallFormat()
         self._runner = runner
         self._sender = sender
         self._name = name
@@ -128,7 +128,7 @@
         """Make one attempt, keep its reply and tell the loop its end."""
         request = call.request
         remaining_ms = max(1, int(send.remaining_s * 1000))
-        headers = self._form.attempt_headers(
+        headers = self._format.attempt_headers(
             call, send.attempt, remaining_ms, send.instance
         )
         copy = Request(
@@ -165,7 +165,7 @@
             self._refuse(http, 503, self.refusal, self.refusal_retry_s)
             return
         try:
-            call = self._form.read(http, self.body_bytes, self.buffer_limit)
+            call = self._format.read(http, self.body_bytes, self.buffer_limit)
         except (BadRequestError, BadBodyError) as error:
             # What is left of the body would be read as the next request.
             http.close_connection = True
@@ -275,7 +275,7 @@
     ) -> None:
         headers = [
             (OUTCOME_HEADER, NOT_RUN),
-            ("Retry-After", self._form.retry_after(retry_after_s)),
+            ("Retry-After", self._format.retry_after(retry_after_s)),
         ]
         self._say(http, status, headers, reason)
 
@@ -311,7 +311,7 @@
         headers: list[tuple[str, str]],
         reason: str,
     ) -> None:
-        headers.extend(self._form.entry_headers(http))
+        headers.extend(self._format.entry_headers(http))
         body = msgspec.json.encode({"reason": reason, "entry": self._name})
         headers.append(("Content-Type", "application/json"))
         headers.append(("Content-Length", str(len(body))))
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -68,10 +68,10 @@
     """Stand between callers and upstreams, told by control."""
 
     def __init__(
-        self, settings: Settings, form: CallFormat | None = None
+        self, settings: Settings, call_format: CallFormat | None = None
     ) -> None:
         super().__init__(settings)
-        self._form = form or CallFormat()
+        self._format = call_format or CallFormat()
 
     def prepare(self) -> None:
         """Build the decisions' state and mount the callers' side."""
@@ -115,14 +115,14 @@
         self._replicas: list[str] = []
         self._handler = CallHandler(
             runner=self._runner,
-            sender=Sender(self._connections, self._form),
+            sender=Sender(self._connections, self._format),
             name=settings.name,
             body_bytes=settings.request_body_bytes,
             threads=settings.http_threads,
-            form=self._form,
+            call_format=self._format,
         )
         self._prober = Prober(
-            self._runner, Sender(self._connections, self._form)
+            self._runner, Sender(self._connections, self._format)
         )
         self._dispatcher = Dispatcher(
             balancer=self._balancer,
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -117,7 +117,7 @@
         "_connections",
         "_endpoint",
         "_exchange",
-        "_form",
+        "_format",
         "_latency_s",
         "_outcome",
         "_response",
@@ -146,11 +146,11 @@
         endpoint: str,
         exchange: Exchange,
         wait_s: float,
-        form: AnswerFormat,
+        answer_format: AnswerFormat,
     ) -> None:
         """Take the answer whose head has come."""
-        self._form = form
-        self.is_misdirected = form.is_misdirected(response)
+        self._format = answer_format
+        self.is_misdirected = answer_format.is_misdirected(response)
         self._response = response
         self._connection = connection
         self._connections = connections
@@ -202,21 +202,21 @@
         """Give the in-flight count that the endpoint reported."""
         if self._response is None:
             return None
-        return self._form.load(self._response.headers)
+        return self._format.load(self._response.headers)
 
     @property
     def cold_s(self) -> float | None:
         """Give for how many seconds more the endpoint is cold, if told."""
         if self._response is None:
             return None
-        return self._form.cold_s(self._response.headers)
+        return self._format.cold_s(self._response.headers)
 
     @property
     def stretch(self) -> float | None:
         """Give how much longer than usual the endpoint says work takes."""
         if self._response is None:
             return None
-        return self._form.stretch(self._response.headers)
+        return self._format.stretch(self._response.headers)
 
     def headers(self) -> list[tuple[str, str]]:
         """List the answer's headers, those of the connection left out."""
@@ -232,7 +232,7 @@
             lower = name.lower()
             if lower in HOP_BY_HOP_HEADERS or lower in dropped:
                 continue
-            if not self._form.is_forwarded(lower):
+            if not self._format.is_forwarded(lower):
                 continue
             if lower == "content-length":
                 if length_seen:
@@ -247,7 +247,7 @@
         An answer that is cut within them was not passed on yet: it counts
         as lost, and an idempotent call can be sent elsewhere.
 
-        :raises CutAnswerError: the endpoint broke off or was too slow
+        :raises BrokenAnswerError: the endpoint broke off or was too slow
         """
         response = self._response
         assert response is not None
@@ -268,7 +268,7 @@
             self._release()
 
     def body(self) -> Iterator[bytes]:
-        """Yield the body; CutAnswerError says that it was cut short."""
+        """Yield the body; BrokenAnswerError says that it was cut short."""
         if self._start:
             yield self._start
         while not self._whole:
@@ -326,13 +326,15 @@
 class Sender:
     """Send attempts over kept connections."""
 
-    __slots__ = ("_connections", "_form")
+    __slots__ = ("_connections", "_format")
 
     def __init__(
-        self, connections: ConnectionPool, form: AnswerFormat | None = None
+        self,
+        connections: ConnectionPool,
+        answer_format: AnswerFormat | None = None,
     ) -> None:
         self._connections = connections
-        self._form = form or AnswerFormat()
+        self._format = answer_format or AnswerFormat()
 
     def send(
         self,
@@ -358,7 +360,7 @@
             return Reply(outcome, time.monotonic() - started)
         try:
             response = self._exchange(request, connection, exchange, deadline)
-            self._form.check(request.headers, response)
+            self._format.check(request.headers, response)
             reply = self._take(
                 response, connection, endpoint, exchange, started, deadline
             )
@@ -451,7 +453,7 @@
         started: float,
         deadline: float,
     ) -> Reply:
-        shed = self._form.not_run(response)
+        shed = self._format.not_run(response)
         reply = Reply(NOT_RUN if shed else ANSWERED, 0.0)
         wait_s = deadline - time.monotonic()
         reply.take(
@@ -461,7 +463,7 @@
             endpoint,
             exchange,
             wait_s,
-            self._form,
+            self._format,
         )
         try:
             reply.read_start()
