--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -1,4 +1,4 @@
-"""Take calls from callers and see each through to one outcome."""
+"""Serve each call from its request to the one outcome its caller gets."""
 
 import threading
 import time
@@ -42,25 +42,26 @@
 
 ACTION_GRACE_S = 5.0
 FULL_RETRY_S = 1.0
-# Worker threads that calls may not take: announcements and questions for
-# entries must go on while every call waits, or leases lapse under load.
-PAGE_THREADS_SHARE = 6
+# One in so many worker threads is reserved for pages: if calls could hold
+# all of them, announcements and requests for the list of entries would wait
+# and leases would expire under load.
+PAGE_THREADS_DIVISOR = 6
 
 
-class CallTaker(Protocol):
-    """Describe what the entry's loop does for a call."""
+class CallDispatcher(Protocol):
+    """Admit calls and record their progress on the entry's loop."""
 
     def open_call(self, call: PendingCall) -> None:
         """Admit a call; its actions are queued on it."""
 
     def end_attempt(self, call: PendingCall, result: Result) -> None:
-        """Take the end of an attempt."""
+        """Record the end of an attempt."""
 
     def close_call(self, call: PendingCall) -> None:
-        """Forget a call whose worker has written its answer."""
+        """Remove a call whose worker has written its answer."""
 
     def end_instance(self, instance: str, address: str) -> None:
-        """Take word that an instance has left its address."""
+        """Record that an instance no longer runs at its address."""
 
 
 class CallHandler:
@@ -70,7 +71,7 @@
         "_active",
         "_format",
         "_lock",
-        "_most",
+        "_max_calls",
         "_name",
         "_runner",
         "_sender",
@@ -91,7 +92,7 @@
         threads: int,
         call_format: CallFormat | None = None,
     ) -> None:
-        self.dispatcher: CallTaker
+        self.dispatcher: CallDispatcher
         self._format = call_format or CallFormat()
         self._runner = runner
         self._sender = sender
@@ -100,20 +101,22 @@
         self.buffer_limit: BufferLimit = _default_buffer_limit
         self._lock = threading.Lock()
         self._active = 0
-        self._most = max(1, threads - max(1, threads // PAGE_THREADS_SHARE))
-        # Why no call is taken at present; none while calls are taken.
+        self._max_calls = max(
+            1, threads - max(1, threads // PAGE_THREADS_DIVISOR)
+        )
+        # Why all calls are refused at present; None while they are accepted.
         self.refusal: str | None = None
-        # When a caller that is refused for it should come back, in seconds.
+        # The delay after which a caller refused for it may retry.
         self.refusal_retry_s = FULL_RETRY_S
 
     @property
     def active(self) -> int:
-        """Count the calls whose answer has not been written whole."""
+        """Return the number of calls whose answer is not fully written."""
         return self._active
 
     def __call__(self, http: StrictRequest) -> None:
         """Answer one call."""
-        if not self._enter():
+        if not self._reserve_slot():
             self._refuse(http, 503, "entry is full", FULL_RETRY_S)
             return
         try:
@@ -125,17 +128,17 @@
     def attempt(
         self, call: PendingCall, send: Send, exchange: Exchange
     ) -> Reply:
-        """Make one attempt, keep its reply and tell the loop its end."""
+        """Make one attempt, store its reply and report its end to the loop."""
         request = call.request
         remaining_ms = max(1, int(send.remaining_s * 1000))
         headers = self._format.attempt_headers(
             call, send.attempt, remaining_ms, send.instance
         )
-        copy = Request(
+        attempt_request = Request(
             request.method, request.target, headers, request.body, request.rest
         )
         reply = self._sender.send(
-            copy, send.endpoint, send.remaining_s, exchange
+            attempt_request, send.endpoint, send.remaining_s, exchange
         )
         call.status = reply.status
         call.add_reply(send.attempt, reply)
@@ -143,19 +146,23 @@
             self._runner.schedule(
                 self.dispatcher.end_instance, send.instance, send.endpoint
             )
-        self._tell_end(call, send, reply)
+        self._report_end(call, send, reply)
         return reply
 
     def hedge(self, call: PendingCall, send: Send, exchange: Exchange) -> None:
-        """Make a second attempt beside the one the worker waits for."""
+        """Make an attempt in parallel to the one that the worker waits for.
+
+        A body that is not buffered whole can be sent only once, so such a
+        call is not hedged.
+        """
         if call.request.rest is None:
             self.attempt(call, send, exchange)
             return
-        self._tell_end(call, send, Reply(NOT_RUN_OUTCOME, 0.0))
+        self._report_end(call, send, Reply(NOT_RUN_OUTCOME, 0.0))
 
-    def _enter(self) -> bool:
+    def _reserve_slot(self) -> bool:
         with self._lock:
-            if self._active >= self._most:
+            if self._active >= self._max_calls:
                 return False
             self._active += 1
             return True
@@ -167,21 +174,21 @@
         try:
             call = self._format.read(http, self.body_bytes, self.buffer_limit)
         except (BadRequestError, BadBodyError) as error:
-            # What is left of the body would be read as the next request.
+            # The unread rest of the body would be parsed as the next request.
             http.close_connection = True
             self._refuse(http, error.status, str(error), 0.0)
             return
         http.opened = True
         self._runner.schedule(self.dispatcher.open_call, call)
         try:
-            self._follow(call, http)
+            self._process_actions(call, http)
         finally:
-            # Here, since the loop hears of the end up to a sweep later.
+            # Set here, since the loop closes the call up to one sweep later.
             call.record.ended_at = time.monotonic()
             call.close()
             self._runner.defer(self.dispatcher.close_call, call)
 
-    def _follow(self, call: PendingCall, http: StrictRequest) -> None:
+    def _process_actions(self, call: PendingCall, http: StrictRequest) -> None:
         while True:
             action, exchange = call.next_action(
                 MAX_DEADLINE_MS / 1000 + ACTION_GRACE_S
@@ -191,41 +198,41 @@
                 reply = self._attempt(call, action, exchange)
                 if reply.outcome == ANSWERED and not reply.failed:
                     # The balancer always ends a call with its first good
-                    # answer; waiting for its word would add one more turn
-                    # through the loop to every call.
-                    self._answer(http, call, action.attempt)
+                    # answer; waiting for its Finish would add one more round
+                    # trip through the loop to every call.
+                    self._forward_answer(http, call, action.attempt)
                     return
                 continue
             if isinstance(action, Refuse):
                 self._refuse(http, 503, action.reason, action.retry_after_s)
                 return
             if isinstance(action, Known):
-                self._repeat(http, action)
+                self._answer_duplicate(http, action)
                 return
             if isinstance(action, Reject):
                 headers = [(OUTCOME_HEADER, NOT_RUN)]
-                self._say(http, 404, headers, action.reason)
+                self._write_answer(http, 404, headers, action.reason)
                 return
             if isinstance(action, Finish):
-                self._answer(http, call, action.attempt)
+                self._forward_answer(http, call, action.attempt)
                 return
             reason = action.reason if isinstance(action, Lose) else "no word"
-            self._lose(http, reason)
+            self._answer_unknown(http, reason)
             return
 
     def _attempt(
         self, call: PendingCall, send: Send, exchange: Exchange
     ) -> Reply:
         rest = call.request.rest
-        if rest is not None and rest.begun:
-            # The body went out with an earlier attempt and is gone: this
-            # attempt cannot be made, and truly does not run.
+        if rest is not None and rest.is_started:
+            # An earlier attempt has read the rest of the body from the
+            # caller, so this attempt cannot be made and does not run.
             reply = Reply(NOT_RUN_OUTCOME, 0.0)
-            self._tell_end(call, send, reply)
+            self._report_end(call, send, reply)
             return reply
         return self.attempt(call, send, exchange)
 
-    def _tell_end(self, call: PendingCall, send: Send, reply: Reply) -> None:
+    def _report_end(self, call: PendingCall, send: Send, reply: Reply) -> None:
         result = Result(
             call_id=send.call_id,
             attempt=send.attempt,
@@ -241,17 +248,18 @@
         )
         self._runner.schedule(self.dispatcher.end_attempt, call, result)
 
-    def _answer(
+    def _forward_answer(
         self, http: StrictRequest, call: PendingCall, attempt: int
     ) -> None:
         reply = call.close(attempt)
         if reply is None:
-            self._lose(http, "answer was dropped")
+            self._answer_unknown(http, "answer was dropped")
             return
         headers = [*reply.headers(), (ENTRY_HEADER, self._name)]
         if not reply.is_framed:
-            # Neither its end nor a cut can be told here; closing without
-            # a frame leaves the caller knowing as little as this entry.
+            # The end of the answer cannot be told from a broken connection.
+            # Without framing the caller is left in the same uncertainty,
+            # instead of being promised a complete answer.
             http.close_connection = True
             http.response_protocol = "HTTP/1.0"
             headers.append(("Connection", "close"))
@@ -260,8 +268,8 @@
             for piece in reply.body():
                 http.write(piece)
         except BrokenAnswerError:
-            # The head is with the caller already. A clean end would look
-            # like a whole answer, so the connection is cut instead.
+            # The head has been sent already. A clean end would look like a
+            # complete answer, so the connection is reset instead.
             http.abort()
         finally:
             reply.close()
@@ -277,14 +285,14 @@
             (OUTCOME_HEADER, NOT_RUN),
             ("Retry-After", self._format.retry_after(retry_after_s)),
         ]
-        self._say(http, status, headers, reason)
+        self._write_answer(http, status, headers, reason)
 
-    def _repeat(self, http: StrictRequest, known: Known) -> None:
-        """Tell a caller that sent a key again what became of the first."""
+    def _answer_duplicate(self, http: StrictRequest, known: Known) -> None:
+        """Answer a request whose key was used before with the outcome."""
         if known.outcome == MISMATCH:
             reason = f"the {KEY_HEADER} belongs to another request"
             headers = [(OUTCOME_HEADER, NOT_RUN)]
-            self._say(http, 422, headers, reason)
+            self._write_answer(http, 422, headers, reason)
             return
         if known.outcome == RAN:
             reason = f"it ran and was answered with status {known.status}"
@@ -292,19 +300,19 @@
                 (OUTCOME_HEADER, RAN),
                 (RAN_STATUS_HEADER, str(known.status)),
             ]
-            self._say(http, 409, headers, reason)
+            self._write_answer(http, 409, headers, reason)
             return
         headers = [(OUTCOME_HEADER, UNKNOWN)]
         reason = "it may have run"
         if known.outcome == OPEN:
             reason = "it is under way, or its entry broke off"
             headers.append(("Retry-After", "1"))
-        self._say(http, 409, headers, reason)
+        self._write_answer(http, 409, headers, reason)
 
-    def _lose(self, http: StrictRequest, reason: str) -> None:
-        self._say(http, 502, [(OUTCOME_HEADER, UNKNOWN)], reason)
+    def _answer_unknown(self, http: StrictRequest, reason: str) -> None:
+        self._write_answer(http, 502, [(OUTCOME_HEADER, UNKNOWN)], reason)
 
-    def _say(
+    def _write_answer(
         self,
         http: StrictRequest,
         status: int,
@@ -321,5 +329,5 @@
 
 
 def _default_buffer_limit(host: str, path: str) -> int:
-    """Keep as much of a body as where no route says otherwise."""
+    """Return the number of bytes buffered where no route sets another."""
     return BUFFER_BYTES
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -1,4 +1,4 @@
-"""Stand on the loop between the worker threads and the balancer."""
+"""Carry out the balancer's actions for the calls of worker threads."""
 
 import asyncio
 import time
@@ -36,9 +36,9 @@
 
 HEDGE_THREADS = 8
 SWEEP_S = 0.1
-# A caller that is still there after so long is looked for at each sweep.
-LOOK_AFTER_S = 0.1
-CUT_RETRY_S = 1.0
+# Sweeps check whether the caller is still connected from this age on.
+CALLER_CHECK_AGE_S = 0.1
+STOPPING_RETRY_S = 1.0
 
 Hedge = Callable[[PendingCall, Send, Exchange], None]
 QueryLoad = Callable[[Probe], None]
@@ -47,22 +47,22 @@
 
 
 class Dispatcher:
-    """Hand the balancer's actions to those that carry them out."""
+    """Pass calls and results to the balancer and carry out its actions."""
 
     __slots__ = (
-        "_armed_at",
-        "_ask_load",
         "_balancer",
         "_calls",
         "_ending",
         "_hedge",
-        "_hedges",
-        "_hedging",
+        "_hedge_threads",
+        "_hedges_in_flight",
         "_loop",
         "_metrics",
-        "_opened",
+        "_open_calls",
+        "_query_load",
         "_settle",
         "_timer",
+        "_wakeup_at",
         "on_reports",
     )
 
@@ -78,20 +78,20 @@
         self._balancer = balancer
         self._metrics = metrics
         self._hedge = hedge
-        self._ask_load = query_load
+        self._query_load = query_load
         self._settle = settle
         self._loop = asyncio.get_running_loop()
         self._calls: dict[int, PendingCall] = {}
-        # Tickets whose call has no outcome yet, and all whose worker has
-        # not written its answer yet, the oldest first.
-        self._opened: dict[int, tuple[float, PendingCall]] = {}
+        # Calls without an outcome, and calls whose worker has not finished
+        # writing the answer, the oldest first.
+        self._open_calls: dict[int, tuple[float, PendingCall]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._armed_at = 0.0
-        self._hedging = 0
-        # Takes what control must hear of requests that crash endpoints.
+        self._wakeup_at = 0.0
+        self._hedges_in_flight = 0
+        # Receives the reports for control on requests that crash endpoints.
         self.on_reports: SubmitReports
         self._ending = False
-        self._hedges = ThreadPoolExecutor(HEDGE_THREADS, "hedge")
+        self._hedge_threads = ThreadPoolExecutor(HEDGE_THREADS, "hedge")
 
     def admit(self, call: PendingCall, deadline_s: float | None) -> None:
         """Admit a call; its actions are queued on it."""
@@ -111,7 +111,7 @@
     def admit_with_rule(
         self, call: PendingCall, service: str, rule: Rule
     ) -> None:
-        """Admit a call whose service and rule a route gives."""
+        """Admit a call whose service and rule are set by a route."""
         arrival = call.arrival
         now = self._loop.time()
         call_id, actions = self._balancer.arrive_with_rule(
@@ -134,12 +134,12 @@
         call.call_id = call_id
         call.record.opened_at = now
         self._calls[call_id] = call
-        self._opened[call_id] = (now, call)
+        self._open_calls[call_id] = (now, call)
         self._metrics.count("calls")
         self.perform(actions)
 
     def end_attempt(self, call: PendingCall, result: Result) -> None:
-        """Take the end of an attempt."""
+        """Record the end of an attempt."""
         if call.worker_attempt == result.attempt:
             call.worker_attempt = None
         self._metrics.count(f"attempts.{result.outcome}")
@@ -156,31 +156,31 @@
                 self._report_crash(call, send)
         self.perform(self._balancer.finish(result, self._loop.time()))
 
-    def apply_quarantine(self, news: QuarantineUpdate) -> None:
-        """Take the requests that may crash endpoints, as control tells."""
+    def apply_quarantine(self, received: QuarantineUpdate) -> None:
+        """Apply the quarantine cases received from control."""
         log(
             Event.QUARANTINE_APPLIED,
-            index=news.index,
-            cases=[[one.fingerprint, one.state] for one in news.cases],
-            ended=[fingerprint for _, fingerprint in news.ended],
+            index=received.index,
+            cases=[[one.fingerprint, one.state] for one in received.cases],
+            ended=[fingerprint for _, fingerprint in received.ended],
         )
         now = self._loop.time()
-        self.perform(self._balancer.apply_quarantine(news, now))
+        self.perform(self._balancer.apply_quarantine(received, now))
 
-    def apply_evacuations(self, news: EvacuationUpdate) -> None:
-        """Take the evacuated availability zones, as control tells."""
+    def apply_evacuations(self, received: EvacuationUpdate) -> None:
+        """Apply the evacuated availability zones received from control."""
         log(
             Event.EVACUATIONS_APPLIED,
-            index=news.index,
-            availability_zones=news.availability_zones,
+            index=received.index,
+            availability_zones=received.availability_zones,
         )
         now = self._loop.time()
-        self.perform(self._balancer.apply_evacuations(news, now))
+        self.perform(self._balancer.apply_evacuations(received, now))
 
     def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None
     ) -> None:
-        """Take control's answer to a trial request; None: there is none."""
+        """Apply control's ruling on a trial request, None if it gave none."""
         now = self._loop.time()
         self.perform(self._balancer.apply_ruling(request, ruling, now))
 
@@ -193,7 +193,7 @@
         answered: bool,
         cold_s: float | None,
     ) -> None:
-        """Take a probe's end; without load and answer it has failed."""
+        """Record a probe's result; without load or answer it has failed."""
         self._metrics.count("probes")
         self.perform(
             self._balancer.record_probe(
@@ -209,18 +209,18 @@
         )
 
     def close_call(self, call: PendingCall) -> None:
-        """Forget a call whose worker has written its answer."""
+        """Remove a call whose worker has written its answer."""
         if call.call_id in self._calls:
             self._abandon(call.call_id)
-        self._opened.pop(call.call_id, None)
+        self._open_calls.pop(call.call_id, None)
         for exchange in call.exchanges.values():
             exchange.end()
 
     def perform(self, actions: list[Action]) -> None:
-        """Hand on actions and see to the next wake-up."""
+        """Carry out actions and schedule the next wake-up."""
         for action in actions:
             if isinstance(action, Probe):
-                self._ask_load(action)
+                self._query_load(action)
                 continue
             if isinstance(action, Cancel):
                 self._cancel(action)
@@ -245,31 +245,31 @@
         reports = self._balancer.drain_reports()
         if reports:
             self.on_reports(reports)
-        self._arm()
+        self._schedule_wakeup()
 
     def sweep(self) -> None:
-        """End waits that are over, and calls whose caller has gone."""
+        """End overdue exchanges and calls whose caller has disconnected."""
         now = time.monotonic()
-        gone_before = self._loop.time() - LOOK_AFTER_S
-        for call_id, (opened_at, call) in list(self._opened.items()):
-            if opened_at > gone_before:
+        opened_before = self._loop.time() - CALLER_CHECK_AGE_S
+        for call_id, (opened_at, call) in list(self._open_calls.items()):
+            if opened_at > opened_before:
                 break
             for exchange in call.exchanges.values():
                 until = exchange.wait_until
                 if until is not None and now > until:
                     exchange.end()
             if call_id not in self._calls or call.claimed:
-                # A claimed call goes on without its caller: its outcome
-                # is recorded and told when the key comes again.
+                # A claimed call continues without its caller: its outcome
+                # is recorded, and returned when the key is sent again.
                 continue
             if is_peer_closed(call.socket_number):
                 self._metrics.count("abandoned")
                 self._abandon(call_id)
 
     def end_all(self) -> None:
-        """End every call now: what was sent is lost, the rest not run."""
+        """End every call now, sent ones as lost and the others as not run."""
         self._ending = True
-        for call_id, (_, call) in list(self._opened.items()):
+        for call_id, (_, call) in list(self._open_calls.items()):
             for exchange in call.exchanges.values():
                 exchange.end()
             if self._calls.pop(call_id, None) is None:
@@ -280,11 +280,13 @@
                 end_call(call, Lose(call_id, "entry is stopping"))
                 continue
             self._settle(call, CLAIM_NOT_RUN)
-            end_call(call, Refuse(call_id, "entry is stopping", CUT_RETRY_S))
+            end_call(
+                call, Refuse(call_id, "entry is stopping", STOPPING_RETRY_S)
+            )
 
     def stop(self) -> None:
-        """Let go of the hedging threads."""
-        self._hedges.shutdown(wait=False, cancel_futures=True)
+        """Shut down the hedging threads."""
+        self._hedge_threads.shutdown(wait=False, cancel_futures=True)
 
     def _report_crash(self, call: PendingCall, send: dict[str, Any]) -> None:
         send["crashed"] = True
@@ -316,23 +318,23 @@
             call.worker_attempt = send.attempt
             call.put(send, exchange)
             return
-        if self._hedging >= HEDGE_THREADS:
-            # A hedge that waits for a thread comes too late to help.
+        if self._hedges_in_flight >= HEDGE_THREADS:
+            # A hedge that has to wait for a thread is too late to help.
             result = Result(send.call_id, send.attempt, NOT_RUN, 0.0)
             self._loop.call_soon(self.end_attempt, call, result)
             return
-        self._hedging += 1
+        self._hedges_in_flight += 1
         self._metrics.count("hedges")
-        future = self._hedges.submit(self._hedge, call, send, exchange)
+        future = self._hedge_threads.submit(self._hedge, call, send, exchange)
         future.add_done_callback(
-            lambda _: self._loop.call_soon_threadsafe(self._end_hedge)
+            lambda _: self._loop.call_soon_threadsafe(self._count_hedge_end)
         )
 
-    def _end_hedge(self) -> None:
-        self._hedging -= 1
+    def _count_hedge_end(self) -> None:
+        self._hedges_in_flight -= 1
 
     def _cancel(self, cancel: Cancel) -> None:
-        _, call = self._opened.get(cancel.call_id, (0.0, None))
+        _, call = self._open_calls.get(cancel.call_id, (0.0, None))
         if call is not None:
             call.exchanges[cancel.attempt].end()
 
@@ -344,18 +346,18 @@
             self._settle(call, UNKNOWN)
             end_call(call, Lose(call_id, "caller has gone"))
 
-    def _arm(self) -> None:
+    def _schedule_wakeup(self) -> None:
         at = self._balancer.next_wakeup()
         if at is None:
             return
         if self._timer is not None:
-            if self._armed_at <= at:
+            if self._wakeup_at <= at:
                 return
             self._timer.cancel()
-        self._armed_at = at
-        self._timer = self._loop.call_at(at, self._wake)
+        self._wakeup_at = at
+        self._timer = self._loop.call_at(at, self._wake_up)
 
-    def _wake(self) -> None:
+    def _wake_up(self) -> None:
         self._timer = None
         self.perform(self._balancer.tick(self._loop.time()))
 
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -1,4 +1,4 @@
-"""Send one attempt of a call to an endpoint and take its answer."""
+"""Send one attempt of a call to an endpoint and read its answer."""
 
 import http.client
 import re
@@ -29,7 +29,7 @@
 CONNECT_TIMEOUT_S = 0.25
 REFUSAL_TIMEOUT_S = 0.1
 BUFFER_BYTES = 65536
-LEAST_TIMEOUT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 FIRST_FINAL_STATUS = 200
 FIRST_FAILED_STATUS = 500
 
@@ -55,24 +55,24 @@
 MALFORMED = "malformed answer"
 
 _NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_FOLD = re.compile(r"[\r\n]+[ \t]*")
+_LINE_FOLD = re.compile(r"[\r\n]+[ \t]*")
 
 
 class BodyRest:
-    """Pass on the rest of a long body as it comes; it is read only once."""
+    """Stream the rest of a long body as it arrives; it can be read once."""
 
-    __slots__ = ("_read", "begun")
+    __slots__ = ("_read", "is_started")
 
     def __init__(self, read: Callable[[int], bytes]) -> None:
         self._read = read
-        self.begun = False
+        self.is_started = False
 
     def __iter__(self) -> Iterator[bytes]:
         return self
 
     def __next__(self) -> bytes:
-        """Return the next piece; an error cuts the exchange short."""
-        self.begun = True
+        """Return the next piece; an error in reading it aborts the attempt."""
+        self.is_started = True
         piece = self._read(BUFFER_BYTES)
         if not piece:
             raise StopIteration
@@ -80,7 +80,11 @@
 
 
 class Request:
-    """Hold what is sent; a body of bytes can be sent again."""
+    """Hold a request to be sent.
+
+    ``body`` is the buffered beginning of the body and can be sent again;
+    ``rest``, if set, streams what follows and can be sent only once.
+    """
 
     __slots__ = ("body", "headers", "method", "rest", "target")
 
@@ -99,7 +103,7 @@
         self.rest = rest
 
     def pieces(self) -> bytes | Iterator[bytes] | None:
-        """Give the body as urllib3 takes it."""
+        """Return the body in the form that urllib3 expects."""
         if self.rest is None:
             return self.body or None
         return self._pieces(self.rest)
@@ -110,20 +114,20 @@
 
 
 class Reply:
-    """Hold how an attempt ended and, when answered, the answer."""
+    """Hold the outcome of an attempt and the answer, if there is one."""
 
     __slots__ = (
         "_connection",
         "_connections",
         "_endpoint",
         "_exchange",
+        "_finished",
+        "_first_bytes",
         "_format",
         "_latency_s",
         "_outcome",
         "_response",
-        "_start",
         "_wait_s",
-        "_whole",
         "is_misdirected",
         "loss",
     )
@@ -135,8 +139,8 @@
         self._outcome = outcome
         self._latency_s = latency_s
         self._response: HTTPResponse | None = None
-        self._start = b""
-        self._whole = False
+        self._first_bytes = b""
+        self._finished = False
 
     def take(
         self,
@@ -148,7 +152,7 @@
         wait_s: float,
         answer_format: AnswerFormat,
     ) -> None:
-        """Take the answer whose head has come."""
+        """Set the answer after its head has been read."""
         self._format = answer_format
         self.is_misdirected = answer_format.is_misdirected(response)
         self._response = response
@@ -160,12 +164,12 @@
 
     @property
     def outcome(self) -> str:
-        """Name the outcome, one of those in core's calls."""
+        """Return the outcome, one of the constants of core's calls."""
         return self._outcome
 
     @property
     def latency_s(self) -> float:
-        """Give the time to the answer's first bytes, in seconds."""
+        """Return the time to the answer's first bytes, in seconds."""
         return self._latency_s
 
     @latency_s.setter
@@ -174,59 +178,59 @@
 
     @property
     def status(self) -> int:
-        """Give the answer's status."""
+        """Return the answer's status, or 0 without an answer."""
         return 0 if self._response is None else self._response.status
 
     @property
     def shed(self) -> bool:
-        """Tell whether the endpoint itself said that it ran nothing."""
+        """Return whether the endpoint itself reported that nothing ran."""
         if self.is_misdirected or self._response is None:
             return False
         return self._outcome == NOT_RUN
 
     @property
     def failed(self) -> bool:
-        """Tell whether the answer says that the endpoint is broken."""
+        """Return whether the status shows a broken endpoint."""
         return self.status >= FIRST_FAILED_STATUS
 
     @property
     def is_framed(self) -> bool:
-        """Tell whether the end of the answer can be told from a cut."""
+        """Return whether a complete answer can be told from a broken one."""
         response = self._response
         if response is None or response.chunked:
             return True
-        return self._whole or response.length_remaining is not None
+        return self._finished or response.length_remaining is not None
 
     @property
     def load(self) -> int | None:
-        """Give the in-flight count that the endpoint reported."""
+        """Return the in-flight count that the endpoint reported."""
         if self._response is None:
             return None
         return self._format.load(self._response.headers)
 
     @property
     def cold_s(self) -> float | None:
-        """Give for how many seconds more the endpoint is cold, if told."""
+        """Return how long the endpoint stays cold, in seconds, if reported."""
         if self._response is None:
             return None
         return self._format.cold_s(self._response.headers)
 
     @property
     def stretch(self) -> float | None:
-        """Give how much longer than usual the endpoint says work takes."""
+        """Return the reported service time as a multiple of the usual."""
         if self._response is None:
             return None
         return self._format.stretch(self._response.headers)
 
     def headers(self) -> list[tuple[str, str]]:
-        """List the answer's headers, those of the connection left out."""
+        """Return the answer's headers without the hop-by-hop ones."""
         if self._response is None:
             return []
         fields = self._response.headers
         dropped = connection_options(fields.get("connection", ""))
         if self._response.chunked:
             dropped.add("content-length")
-        kept = []
+        forwarded = []
         length_seen = False
         for name, value in fields.items():
             lower = name.lower()
@@ -238,14 +242,14 @@
                 if length_seen:
                     continue
                 length_seen = True
-            kept.append((name, _FOLD.sub(" ", value)))
-        return kept
+            forwarded.append((name, _LINE_FOLD.sub(" ", value)))
+        return forwarded
 
     def read_start(self) -> None:
         """Read the first bytes, and all of a short answer.
 
-        An answer that is cut within them was not passed on yet: it counts
-        as lost, and an idempotent call can be sent elsewhere.
+        An answer that breaks within them has not been forwarded yet: it
+        counts as lost, and an idempotent call can be sent elsewhere.
 
         :raises BrokenAnswerError: the endpoint broke off or was too slow
         """
@@ -258,40 +262,43 @@
             piece = self._read()
             pieces.append(piece)
             if not piece:
-                self._whole = True
+                self._finished = True
             if not piece or not short or not response.length_remaining:
                 break
-        self._start = b"".join(pieces)
+        self._first_bytes = b"".join(pieces)
         if short:
-            self._whole = True
-        if self._whole:
+            self._finished = True
+        if self._finished:
             self._release()
 
     def body(self) -> Iterator[bytes]:
-        """Yield the body; BrokenAnswerError says that it was cut short."""
-        if self._start:
-            yield self._start
-        while not self._whole:
+        """Yield the body.
+
+        :raises BrokenAnswerError: the answer ended before its end
+        """
+        if self._first_bytes:
+            yield self._first_bytes
+        while not self._finished:
             piece = self._read()
             if not piece:
-                self._whole = True
+                self._finished = True
                 self._release()
                 return
             yield piece
 
     def close(self) -> None:
-        """Close the connection of an exchange that was abandoned."""
-        if self._response is None or self._whole:
+        """Close the connection if the answer has not been read to its end."""
+        if self._response is None or self._finished:
             return
-        self._whole = True
-        # An upstream sees the end of its connection and can stop working.
+        self._finished = True
+        # The upstream sees its connection close and can stop working.
         self._exchange.shut()
         self._exchange.detach()
         self._response.close()
         self._connection.close()
 
     def _read(self) -> bytes:
-        """Read a piece; only the wait for the endpoint is counted."""
+        """Read a piece; the time limit covers only waits for the endpoint."""
         response = self._response
         assert response is not None
         started = time.monotonic()
@@ -305,18 +312,18 @@
             self._exchange.wait_until = None
             self._wait_s -= time.monotonic() - started
         if self._exchange.ended or (piece and self._wait_s <= 0):
-            # A socket shut from here ends like one closed by the other
-            # side; without a length that would pass for a whole answer.
+            # A socket shut down here ends like one that the endpoint closed;
+            # without a length that would pass for a complete answer.
             self.close()
             raise BrokenAnswerError("ended by this entry")
         return piece
 
     def _release(self) -> None:
-        """Give the connection back if it is clean, or close it."""
+        """Return the connection to the pool if it is reusable, or close it."""
         assert self._response is not None
         self._response.close()
-        kept = self._exchange.detach()
-        if kept and self._connection.clean:
+        intact = self._exchange.detach()
+        if intact and self._connection.clean:
             keep_s = idle_s(self._response.headers.get("keep-alive", ""))
             self._connections.release(self._endpoint, self._connection, keep_s)
         else:
@@ -324,7 +331,7 @@
 
 
 class Sender:
-    """Send attempts over kept connections."""
+    """Send attempts over pooled connections."""
 
     __slots__ = ("_connections", "_format")
 
@@ -353,7 +360,7 @@
         assert sock is not None
         wait_s = deadline - time.monotonic()
         if not exchange.attach(sock) or wait_s <= 0:
-            # Nothing was written: connecting took all the time there was,
+            # Nothing was written: connecting took all the remaining time,
             # or the call ended meanwhile.
             connection.close()
             outcome = CANCELLED if exchange.ended else NOT_RUN
@@ -370,20 +377,20 @@
             OSError,
             http.client.HTTPException,
         ) as error:
-            # From the first byte written the request may have run, also
-            # where writing itself failed.
+            # From the first byte written the request may have run, even if
+            # writing the rest failed.
             exchange.detach()
             connection.close()
             latency_s = time.monotonic() - started
             if exchange.ended:
                 return Reply(CANCELLED, latency_s)
-            return Reply(LOST, latency_s, _loss(error))
+            return Reply(LOST, latency_s, _loss_reason(error))
         return reply
 
     def refuses_connections(self, endpoint: str) -> bool:
-        """Tell whether nothing listens at an endpoint's address any more.
+        """Return whether nothing listens at an endpoint's address any more.
 
-        A connection that was closed does not show that its endpoint ended:
+        A closed connection does not show that the endpoint's process ended:
         one that is full, or loses an answer, closes connections as well.
         """
         connection = self._connections.open(endpoint, REFUSAL_TIMEOUT_S)
@@ -401,7 +408,7 @@
         connection = self._connections.acquire(endpoint)
         if connection is not None:
             return connection
-        timeout_s = max(LEAST_TIMEOUT_S, min(CONNECT_TIMEOUT_S, remaining_s))
+        timeout_s = max(MIN_TIMEOUT_S, min(CONNECT_TIMEOUT_S, remaining_s))
         connection = self._connections.open(endpoint, timeout_s)
         try:
             connection.connect()
@@ -418,7 +425,7 @@
         deadline: float,
     ) -> HTTPResponse:
         exchange.wait_until = deadline
-        connection.timeout = max(LEAST_TIMEOUT_S, deadline - time.monotonic())
+        connection.timeout = max(MIN_TIMEOUT_S, deadline - time.monotonic())
         try:
             connection.request(
                 request.method,
@@ -429,15 +436,15 @@
                 decode_content=False,
             )
         except (BrokenPipeError, ConnectionResetError):
-            # An endpoint that sheds a long body may say so and close before
-            # it has read it. Its answer is worth reading: without it a call
-            # that has not run would be lost to its caller.
+            # An endpoint that sheds a call may answer and close before it
+            # has read a long body. Its answer is read all the same: without
+            # it a call that has not run would count as lost.
             connection.part_sent = True
-        connection.timeout = max(LEAST_TIMEOUT_S, deadline - time.monotonic())
+        connection.timeout = max(MIN_TIMEOUT_S, deadline - time.monotonic())
         response = connection.getresponse()
         if response.status < FIRST_FINAL_STATUS:
-            # The library takes an early hint for the whole answer; the
-            # true one would be given to the next call.
+            # The library returns an interim answer, such as an early hint,
+            # as the final one; the next call would receive the real answer.
             raise BrokenAnswerError("interim answer")
         for name in response.headers:
             if not _NAME.fullmatch(name):
@@ -471,14 +478,14 @@
             if not shed:
                 raise
         if shed:
-            # Its head said so before anything ran; the body is of no use.
+            # The head reported "not run"; the body is not needed.
             reply.close()
         reply.latency_s = time.monotonic() - started
         return reply
 
 
-def _loss(error: Exception) -> str:
-    """Say what an error tells of how an attempt was lost."""
+def _loss_reason(error: Exception) -> str:
+    """Return how an attempt was lost, as far as the error shows it."""
     cause = error.__cause__ if isinstance(error, BrokenAnswerError) else error
     if isinstance(cause, (TimeoutError, HTTPTimeoutError)):
         return TIMED_OUT
@@ -488,11 +495,11 @@
 
 
 def connection_options(value: str) -> set[str]:
-    """Return the headers that the Connection header names as its own."""
+    """Return the header names listed in a Connection header."""
     return {word.strip().lower() for word in value.split(",") if word.strip()}
 
 
 def suppress_user_agent(headers: HTTPHeaderDict) -> None:
-    """Keep the library from naming itself where the caller did not."""
+    """Prevent the library from adding a User-Agent of its own."""
     if "user-agent" not in headers:
         headers["User-Agent"] = SKIP_HEADER
