--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -1,4 +1,4 @@
-"""Run this vm's replica: its disk, its messages and its clock."""
+"""Run this vm's replica: its storage, messages and timers."""
 
 import asyncio
 import secrets
@@ -47,23 +47,23 @@
 from .storages import Storage
 
 PROPOSE_TIMEOUT_S = 3.0
-HAND_OVER_S = 0.3
-HAND_OVER_TICK_S = 0.02
-RETIRE_S = 1.0
-RETIRE_TICK_S = 0.05
-RECOVER_S = 1.0
-READ_S = 0.9
-READ_TICK_S = 0.01
+TRANSFER_TIMEOUT_S = 0.3
+TRANSFER_PERIOD_S = 0.02
+RETIRE_TIMEOUT_S = 1.0
+RETIRE_PERIOD_S = 0.05
+RECOVER_PERIOD_S = 1.0
+READ_TIMEOUT_S = 0.9
+READ_PERIOD_S = 0.01
 IDENTITY_BYTES = 6
 
 Spawn = Callable[[Coroutine[None, None, None]], None]
 
 
 class Agreement:
-    """Agree with the other replicas on one log, and read it.
+    """Replicate one log with the other control replicas.
 
     ``spawn`` runs a coroutine until the daemon stops; ``changed`` is called
-    when something was decided here.
+    when log entries were applied or a snapshot was restored.
     """
 
     def __init__(
@@ -73,9 +73,9 @@
         spawn: Spawn,
         changed: Callable[[], None],
     ) -> None:
-        """Open the disk.
+        """Open the data folder and load the replica, if it has a group.
 
-        :raises StorageError: it cannot be read
+        :raises StorageError: the data folder cannot be read
         """
         self._loop = asyncio.get_running_loop()
         self._settings = settings
@@ -95,7 +95,7 @@
             self._loop, lambda: self._node, self._flush_soon
         )
         self._proposals = PendingProposals(self._loop)
-        self._led_term: int | None = None
+        self._leading_term: int | None = None
         self._quorum_report = QuorumReport(self._loop.time())
         self._stopping = False
         self._timer: asyncio.TimerHandle | None = None
@@ -104,7 +104,7 @@
         self._deliveries = Deliveries(
             links,
             self._find_member,
-            self._take_replies,
+            self._receive_replies,
             self._group.introduce_to,
         )
         links.serve(DELIVER, self._on_deliver)
@@ -113,27 +113,27 @@
 
     @property
     def node(self) -> Node | None:
-        """Give the replica, once it is loaded."""
+        """Return the replica's node, None until it is loaded."""
         return self._node
 
     @property
     def storage(self) -> Storage:
-        """Give what the disk holds."""
+        """Return the storage of the data folder."""
         return self._storage
 
     @property
     def follows(self) -> FollowServer:
-        """Give what holds the questions of entries that follow."""
+        """Return the server of the entries' long polls."""
         return self._follows
 
     @property
     def problem(self) -> str | None:
-        """Say why the disk refuses, if it does."""
+        """Return the storage error that stops the replica, if any."""
         return self._problem
 
     @property
     def leader(self) -> Member | None:
-        """Give the leader, as far as this replica knows it."""
+        """Return the leader, None if unknown to this replica."""
         if self._node is None:
             return None
         replica = self._node.replica
@@ -141,40 +141,40 @@
 
     @property
     def leader_name(self) -> str | None:
-        """Name the leader, as far as this replica knows it."""
+        """Return the leader's name, None if unknown to this replica."""
         leader = self.leader
         return leader.name if leader is not None else None
 
     @property
     def term(self) -> int:
-        """Give the term that this replica leads.
+        """Return the term in which this replica leads.
 
-        :raises NotLeaderError: another replica leads, or none
+        :raises NotLeaderError: this replica does not lead
         """
-        return self._lead().replica.term
+        return self._leading_node().replica.term
 
     def in_contact(self) -> bool:
-        """Tell whether a majority was in reach lately."""
+        """Return whether this replica is in contact with a majority."""
         if self._node is None:
             return False
         return self._node.replica.in_contact(self._loop.time())
 
     def reload(self, settings: Settings) -> None:
-        """Take the listed replicas from settings that have changed."""
+        """Use the replicas listed in changed settings."""
         self._settings = settings
         self._group.reload(settings)
 
     def pending_joins(self) -> dict[str, Member]:
-        """Map names to the replicas that ask to be taken in."""
+        """Return the replicas that request to join, by name."""
         if self._node is None:
             return {}
         return self._group.pending_joins(self._node.replica.membership)
 
     async def stop(self) -> None:
-        """Hand over the lead and the vote, and turn the entries away."""
+        """Transfer leadership, give up the vote and redirect the entries."""
         node = self._node
         if node is not None:
-            await self._hand_over(node)
+            await self._transfer_leadership(node)
             await self._retire(node)
         self._stopping = True
         if self._timer is not None:
@@ -182,25 +182,26 @@
         self._follows.redirect_all()
 
     def close(self) -> None:
-        """Close the disk."""
+        """Close the data folder."""
         self._storage.close()
 
     async def propose(self, command: Command) -> Outcome:
-        """Put a command into the log and wait for what became of it.
+        """Append a command to the log and return its outcome.
 
-        The wait is for the log's place, so it works for every command.
+        The outcome is matched by log index, so this works for any command.
 
-        :raises NotLeaderError: ask the leader instead; nothing was done
-        :raises TimeoutError: the outcome is not known
+        :raises NotLeaderError: this replica does not lead, or another entry
+            was committed at the index; the command has no effect
+        :raises TimeoutError: the outcome is unknown
         """
-        index, term = self._lead().propose(command)
-        return await self._decision(index, term)
+        index, term = self._leading_node().propose(command)
+        return await self._wait_outcome(index, term)
 
     async def change(self, change: Change) -> Answer:
-        """Propose a change and wait for what became of it.
+        """Propose a change of the configuration and return the answer.
 
-        :raises NotLeaderError: ask the leader instead
-        :raises TimeoutError: the outcome is not known; resend the change
+        :raises NotLeaderError: another replica leads, or none
+        :raises TimeoutError: the outcome is unknown; resend the change
         """
         answer = await self.propose(change)
         assert isinstance(answer, Answer)
@@ -213,45 +214,45 @@
         return answer
 
     async def reconfigure(
-        self, wish: MembershipChange, operator: str
+        self, requested: MembershipChange, operator: str
     ) -> Membership:
         """Add, replace or remove a replica by name.
 
-        :raises NotLeaderError: ask the leader instead
-        :raises ReconfigurationError: it cannot be done now
-        :raises TimeoutError: the outcome is not known
+        :raises NotLeaderError: another replica leads, or none
+        :raises ReconfigurationError: the change is not possible now
+        :raises TimeoutError: the outcome is unknown
         """
-        node = self._lead()
+        node = self._leading_node()
         replica = node.replica
-        membership = wish.apply(replica.membership, self.pending_joins())
+        membership = requested.apply(replica.membership, self.pending_joins())
         change = Reconfigure(
-            membership, operator, wish.describe(), time.time()
+            membership, operator, requested.describe(), time.time()
         )
         index = replica.reconfigure(change, self._loop.time())
-        await self._decision(index, replica.term)
+        await self._wait_outcome(index, replica.term)
         log(
             Event.REPLICAS_CHANGED,
-            detail=wish.describe(),
+            detail=requested.describe(),
             operator=operator,
         )
         return membership
 
     async def read(self) -> Tree:
-        """Return the tree, confirmed as the newest by a majority.
+        """Return the tree once a majority confirms that it is current.
 
-        :raises NotLeaderError: ask the leader instead
-        :raises TimeoutError: nobody can be sure now
+        :raises NotLeaderError: another replica leads, or none
+        :raises TimeoutError: no majority confirmed within READ_TIMEOUT_S
         """
-        node = self._lead()
+        node = self._leading_node()
         term = node.replica.term
         wanted = node.replica.begin_read()
-        give_up_at = self._loop.time() + READ_S
+        deadline = self._loop.time() + READ_TIMEOUT_S
         while not (
             node.replica.is_ready and node.replica.confirmed_round >= wanted
         ):
-            if self._loop.time() >= give_up_at:
+            if self._loop.time() >= deadline:
                 raise TimeoutError
-            await asyncio.sleep(READ_TICK_S)
+            await asyncio.sleep(READ_PERIOD_S)
             if self._node is not node or node.replica.term != term:
                 raise NotLeaderError(None)
         if node.replica.state != LEADER:
@@ -269,14 +270,14 @@
         return ClaimReply(None, outcome.answers)
 
     async def start(self) -> None:
-        """Meet the other replicas, then start the replica's clock."""
+        """Form or join the group, then start the replica's timer."""
         while self._node is None:
             try:
                 await self._group.form()
                 self._node = self._load()
             except StorageError as error:
-                await self._fall_ill(error)
-        self._arm()
+                await self._handle_storage_error(error)
+        self._schedule_tick()
 
     def _load(self) -> Node:
         return Node(
@@ -287,28 +288,28 @@
             seed=secrets.randbits(32),
         )
 
-    def _lead(self) -> Node:
+    def _leading_node(self) -> Node:
         if self._node is None:
             raise NotLeaderError(None)
         if self._node.replica.state != LEADER:
             raise NotLeaderError(self.leader_name)
         return self._node
 
-    async def _hand_over(self, node: Node) -> None:
-        end = self._loop.time() + HAND_OVER_S
+    async def _transfer_leadership(self, node: Node) -> None:
+        end = self._loop.time() + TRANSFER_TIMEOUT_S
         while node.replica.state == LEADER and self._loop.time() < end:
             node.replica.transfer_leadership(self._loop.time())
             self._flush()
-            await asyncio.sleep(HAND_OVER_TICK_S)
+            await asyncio.sleep(TRANSFER_PERIOD_S)
 
     async def _retire(self, node: Node) -> None:
-        end = self._loop.time() + RETIRE_S
+        end = self._loop.time() + RETIRE_TIMEOUT_S
         while node.replica.is_dispensable and self._loop.time() < end:
             node.replica.retire(self._loop.time())
             self._flush()
-            await asyncio.sleep(RETIRE_TICK_S)
+            await asyncio.sleep(RETIRE_PERIOD_S)
 
-    async def _decision(self, index: int, term: int) -> Outcome:
+    async def _wait_outcome(self, index: int, term: int) -> Outcome:
         self._flush_soon()
         async with asyncio.timeout(PROPOSE_TIMEOUT_S):
             return await self._proposals.wait(index, term)
@@ -320,7 +321,7 @@
         self._node.replica.tick(self._loop.time())
         self._flush()
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._node is None or self._stopping:
             return
         wake_at = self._node.replica.wake_at
@@ -331,8 +332,8 @@
         self._timer = self._loop.call_at(wake_at, self._tick)
 
     def _flush_soon(self) -> None:
-        # All proposals that arrive while a sync runs are flushed together
-        # by the next one: group commit.
+        # Group commit: the proposals that arrive during a sync are flushed
+        # together by the next one.
         if self._flush_due:
             return
         self._flush_due = True
@@ -352,11 +353,11 @@
             self._node = None
             self._spawn(self._recover(error))
             return []
-        self._settle(node, flushed)
-        self._arm()
+        self._handle_flushed(node, flushed)
+        self._schedule_tick()
         return flushed.messages
 
-    def _settle(self, node: Node, flushed: FlushResult) -> None:
+    def _handle_flushed(self, node: Node, flushed: FlushResult) -> None:
         for decided in flushed.decided:
             self._proposals.resolve(decided)
         if flushed.restored:
@@ -365,13 +366,13 @@
         if flushed.decided or flushed.restored:
             self._changed()
         leads = node.replica.state == LEADER
-        self._report_lead(node.replica.term if leads else None)
+        self._log_leadership(node.replica.term if leads else None)
         self._quorum_report.update(node.replica, self._loop.time())
 
-    def _report_lead(self, term: int | None) -> None:
-        if term == self._led_term:
+    def _log_leadership(self, term: int | None) -> None:
+        if term == self._leading_term:
             return
-        self._led_term = term
+        self._leading_term = term
         if term is None:
             log(Event.FOLLOWED)
         else:
@@ -389,7 +390,7 @@
             return None
         return self._node.replica.membership.find(identity)
 
-    def _take_replies(self, messages: list[Message]) -> None:
+    def _receive_replies(self, messages: list[Message]) -> None:
         self._receive(messages)
         if messages:
             self._flush()
@@ -401,9 +402,10 @@
                 log(Event.GROUP_DIFFERS, "error", group=delivery.group)
             return Delivery(group, [])
         if delivery.messages[0].target != self._group.identity:
-            # Meant for the identity whose disk was lost. Without an answer
-            # the sender would not know, and this replica perhaps not where
-            # the leader is: all that its settings list may be gone.
+            # The message is for the identity of a lost disk. The empty group
+            # makes the sender introduce itself: the replicas that the
+            # settings list here may all have been replaced, so that this
+            # one could not find the leader.
             return Delivery("", [])
         self._receive(delivery.messages)
         source = delivery.messages[0].source
@@ -425,31 +427,31 @@
             self._node.replica.receive(message, now)
 
     async def _recover(self, error: StorageError) -> None:
-        await self._fall_ill(error)
+        await self._handle_storage_error(error)
         while self._node is None:
             try:
                 self._storage.recover()
                 self._node = self._load()
             except StorageError as again:
                 self._problem = str(again)
-                await asyncio.sleep(RECOVER_S)
+                await asyncio.sleep(RECOVER_PERIOD_S)
         self._problem = None
         log(Event.STORAGE_RECOVERED)
-        self._arm()
+        self._schedule_tick()
 
-    async def _fall_ill(self, error: StorageError) -> None:
-        # What was promised in memory may not be on the disk. Standing
-        # still until all is loaded from it again equals a crash, which
-        # agreement survives; going on would not.
+    async def _handle_storage_error(self, error: StorageError) -> None:
+        # The state in memory may be ahead of the disk. Stopping until all
+        # is reloaded from the disk is equivalent to a crash, which the
+        # protocol tolerates; continuing is not safe.
         self._problem = str(error)
         log(Event.STORAGE_FAILED, "error", problem=str(error))
         self._proposals.fail_all()
         self._follows.reset()
-        self._report_lead(None)
-        await asyncio.sleep(RECOVER_S)
+        self._log_leadership(None)
+        await asyncio.sleep(RECOVER_PERIOD_S)
 
     async def maintain(self) -> None:
-        """Look whether the group has to change, and who has to ask."""
+        """Request to join if needed; as leader, change the group if due."""
         node = self._node
         if node is None:
             return
@@ -460,21 +462,21 @@
             return
         self._follows.withdraw_silent(node)
         try:
-            await self._change_group(node)
+            await self._change_membership(node)
         except (NotLeaderError, ReconfigurationError, TimeoutError):
-            # The next leader, or the next turn, does it.
+            # The next leader or the next call retries.
             return
 
-    async def _change_group(self, node: Node) -> None:
+    async def _change_membership(self, node: Node) -> None:
         listed = not self._settings.seeds
         now = self._loop.time()
-        wish = due_change(node.replica, self.pending_joins(), now, listed)
-        if wish is not None:
-            await self.reconfigure(wish, "control")
+        requested = due_change(node.replica, self.pending_joins(), now, listed)
+        if requested is not None:
+            await self.reconfigure(requested, "control")
 
 
 def _open_identity(storage: Storage, settings: Settings) -> Identity:
-    """Read this replica's identity, or make one on an empty disk."""
+    """Load this replica's identity, or create it in an empty folder."""
     identity = storage.identity()
     if identity is None:
         identity = Identity(
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -1,4 +1,4 @@
-"""Run the control role: agreement, endpoints, operators, callers."""
+"""Run the control role: consensus, discovery and operators' pages."""
 
 import asyncio
 from typing import Any
@@ -33,14 +33,14 @@
 
 
 class ControlExtension:
-    """Let another set of paths and documents reach the control role."""
+    """Extend the control role by further paths and document formats."""
 
     def mount(self, control: "ControlDaemon") -> None:
         """Add handlers to the control role's listeners."""
 
 
 class ControlDaemon(Daemon):
-    """Keep the configuration with the other replicas."""
+    """Run one control replica."""
 
     def __init__(
         self, settings: Settings, extension: ControlExtension | None = None
@@ -49,7 +49,7 @@
         self._extension = extension or ControlExtension()
 
     def prepare(self) -> None:
-        """Open the disk and mount the pages."""
+        """Open the data folder and mount the pages."""
         settings = self._settings
         try:
             self._agreement = Agreement(
@@ -77,31 +77,31 @@
 
     @property
     def http(self) -> HttpServer:
-        """Give the listener for operators and endpoints."""
+        """Return the listener for operators and endpoints."""
         return self._http
 
     @property
     def directory(self) -> HttpServer:
-        """Give the listener for callers that ask for entries."""
+        """Return the listener for callers that look up entries."""
         return self._listeners.get("directory_address", self._http)
 
     @property
     def settings(self) -> Settings:
-        """Give the settings in force."""
+        """Return the settings in force."""
         return self._settings
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """Give the loop that all state belongs to."""
+        """Return the event loop that owns all state."""
         return self._loop
 
     @property
     def runner(self) -> LoopRunner:
-        """Give the way to the loop for handlers."""
+        """Return the runner of handlers' functions on the loop."""
         return self._runner
 
     def begin(self) -> None:
-        """Meet the other replicas, then start the replica's clock."""
+        """Start the replica, the exchange with peers and periodic work."""
         start_pages()
         self.spawn(self._agreement.start())
         self.every(MAINTAIN_PERIOD_S, self._agreement.maintain)
@@ -110,23 +110,23 @@
         self.every(SAVE_PERIOD_S, self._endpoint_file.save)
 
     def reload(self, settings: Settings) -> None:
-        """Take the listed replicas from settings that have changed."""
+        """Apply changed settings, such as the listed replicas."""
         super().reload(settings)
         self._agreement.reload(settings)
 
     @property
     def agreement(self) -> Agreement:
-        """Give what this replica agrees on with the others."""
+        """Return the replica that takes part in consensus."""
         return self._agreement
 
     @property
     def quarantine(self) -> QuarantineServer:
-        """Give what takes reports of requests that crash endpoints."""
+        """Return the server of reports of requests that crash endpoints."""
         return self._quarantine
 
     @property
     def evacuations(self) -> EvacuationServer:
-        """Give what takes orders to evacuate availability zones."""
+        """Return the server of orders to evacuate availability zones."""
         return self._evacuations
 
     def _changed(self) -> None:
@@ -138,11 +138,11 @@
         self._peers.update_peers()
 
     async def finish(self) -> None:
-        """Hand the lead and the vote over, and turn the entries away."""
+        """Transfer leadership, give up the vote and redirect the entries."""
         await self._agreement.stop()
 
     def gauges(self) -> dict[str, float]:
-        """Give what tells whether changes are taken and in force."""
+        """Return the gauges of leadership, commits and entries behind."""
         node = self._agreement.node
         if node is None:
             return {"leads": 0.0}
@@ -163,14 +163,14 @@
         return found
 
     def close(self) -> None:
-        """Close the pages and the disk."""
+        """Stop the peer exchange; close the pages and the data folder."""
         self._peers.stop()
         close_pages()
         self._agreement.close()
 
     @property
     def machine(self) -> StateMachine:
-        """Give the replicated state as applied here."""
+        """Return the replicated state as applied by this replica."""
         node = self._agreement.node
         return node.machine if node is not None else StateMachine()
 
@@ -199,7 +199,7 @@
         }
 
     def replicas(self) -> dict[str, Any]:
-        """Describe the group's members and who asks to be taken in."""
+        """Describe the group's members and the replicas that wait to join."""
         node = self._agreement.node
         if node is None:
             return {"leader": None, "replicas": [], "waiting": []}
@@ -215,7 +215,7 @@
         }
 
     def leader_address(self) -> str | None:
-        """Give the address where operators reach the leader."""
+        """Return the leader's address for operators, None if unknown."""
         leader = self._agreement.leader
         return leader.http_address if leader is not None else None
 
--- a/packages/daemon/nutmegchute_daemon/groups.py
+++ b/packages/daemon/nutmegchute_daemon/groups.py
@@ -1,4 +1,4 @@
-"""Meet the other control replicas: form a group, join it, be taken in."""
+"""Form or join the group of control replicas by introductions."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 INTRODUCE = Method("Replication", "Introduce", Introduction, Introduction)
 
 FORM_PERIOD_S = 0.1
-# A replica without power answers nothing; the others' answers do not wait
-# for the end of its timeout.
+# A replica without power never answers. The others' answers are used this
+# soon, without waiting for that request's own timeout.
 ANSWER_TIMEOUT_S = 0.2
 
 
 class Group:
-    """Know this replica's identity and who introduced itself."""
+    """Hold this replica's identity and the introductions it received."""
 
     __slots__ = (
         "_formation",
@@ -51,8 +51,8 @@
     ) -> None:
         self._leader = leader
         self._introductions: dict[str, asyncio.Task[None]] = {}
-        # Where a member said last that the leader is; without one, where
-        # this member is, which may know of one later.
+        # Address of the leader as a member last reported it. If the member
+        # knew none, its own address, since it may know one later.
         self._reported_leader = ""
         self._settings = settings
         self._links = links
@@ -65,8 +65,9 @@
             http_address=settings.http_address,
             availability_zone=settings.availability_zone,
         )
-        # Not by the settings of this start: a replica that was killed
-        # between its first start and the group's forming must still found.
+        # From the stored identity, not from the settings of this start: a
+        # replica killed after its first start and before the group formed
+        # must still be a founder.
         founders = settings.replicas if identity.founding else []
         self._formation = Formation(self._member, founders)
         self._join_requests = JoinRequests()
@@ -74,29 +75,32 @@
 
     @property
     def identity(self) -> str:
-        """Give this replica's identity."""
+        """Return this replica's identity."""
         return self._identity.identity
 
     @property
     def group(self) -> str | None:
-        """Name the group, once formed or joined."""
+        """Return the group's id, None until formed or joined."""
         return self._identity.group
 
     @property
     def genesis(self) -> Membership:
-        """Give the membership this replica's log began with."""
+        """Return the initial membership of this replica's log.
+
+        It is empty on a replica that joined later.
+        """
         genesis = self._identity.genesis
-        founder = genesis.find(self.identity) is not None
-        return genesis if founder else Membership()
+        is_founder = genesis.find(self.identity) is not None
+        return genesis if is_founder else Membership()
 
     def reload(self, settings: Settings) -> None:
-        """Take the listed replicas of settings that have changed."""
+        """Use the replicas listed in changed settings."""
         self._settings = settings
 
     async def form(self) -> None:
-        """Wait until a group is formed or joined, and remember it.
+        """Wait until a group is formed or joined, and save it.
 
-        :raises StorageError: the group could not be made durable
+        :raises StorageError: the group could not be saved
         """
         while self._identity.group is None:
             await self.introduce()
@@ -107,16 +111,16 @@
             self._save_identity(found)
 
     async def introduce(self, members: list[Member] | None = None) -> None:
-        """Introduce this replica to all listed ones and to the leader.
+        """Introduce this replica to all listed replicas and the leader.
 
-        ``members`` are those that its own log knows: the listed ones may
-        have been replaced since.
+        ``members`` are the members in its own log: the listed replicas may
+        all have been replaced.
         """
         addresses = [*self._settings.replicas, self._reported_leader]
         for member in members or []:
             addresses.append(member.grpc_address)
         for address in addresses:
-            self._start_introduction(address, refer=True)
+            self._start_introduction(address, follow_referral=True)
         if self._introductions:
             await asyncio.wait(
                 self._introductions.values(), timeout=ANSWER_TIMEOUT_S
@@ -125,36 +129,38 @@
     def introduce_to(self, address: str) -> None:
         """Introduce this replica to one that has lost its disk.
 
-        All that its settings list may have been replaced since; then it
-        would ask in vain.
+        The replicas listed in that one's settings may all have been
+        replaced, so that it could not find the group by itself.
         """
-        self._start_introduction(address, refer=False)
+        self._start_introduction(address, follow_referral=False)
 
-    def _start_introduction(self, address: str, refer: bool) -> None:
+    def _start_introduction(self, address: str, follow_referral: bool) -> None:
         if address in ("", self._member.grpc_address, *self._introductions):
             return
         task = asyncio.create_task(
-            self._exchange_introductions(address, refer)
+            self._exchange_introductions(address, follow_referral)
         )
         self._introductions[address] = task
         task.add_done_callback(
             lambda _: self._introductions.pop(address, None)
         )
 
-    async def _exchange_introductions(self, address: str, refer: bool) -> None:
+    async def _exchange_introductions(
+        self, address: str, follow_referral: bool
+    ) -> None:
         reply = await self._links.send_request(
             address, INTRODUCE, self._own_introduction()
         )
         if reply is None:
             return
         self._formation.record(reply)
-        if refer:
-            # Once: two that take each other for the leader would refer to
-            # one another without end.
-            self._start_introduction(reply.leader, refer=False)
+        if follow_referral:
+            # Once only: two replicas that take each other for the leader
+            # would refer to each other without end.
+            self._start_introduction(reply.leader, follow_referral=False)
 
     def pending_joins(self, membership: Membership) -> dict[str, Member]:
-        """Map names to the replicas that wait to become members."""
+        """Return the replicas that request to join, by name."""
         now = asyncio.get_running_loop().time()
         return self._join_requests.pending(membership, now)
 
@@ -164,8 +170,8 @@
         )
         self._storage.save_identity(identity)
         self._identity = identity
-        founder = bool(self.genesis.members)
-        event = Event.GROUP_FORMED if founder else Event.GROUP_JOINED
+        is_founder = bool(self.genesis.members)
+        event = Event.GROUP_FORMED if is_founder else Event.GROUP_JOINED
         log(event, group=found.group, identity=self.identity)
 
     async def _on_introduce(self, introduction: Introduction) -> Introduction:
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -1,4 +1,4 @@
-"""Hear endpoints on a control replica and tell entries of them."""
+"""Register endpoints on a control replica and report them to entries."""
 
 import asyncio
 import secrets
@@ -37,19 +37,19 @@
 
 EPOCH_BITS = 48
 EXPIRE_S = 0.25
-# An endpoint waits a second until its leaving is acknowledged; it asks the
-# next replica when this one says in time that it cannot do that.
+# An endpoint waits 1 s for the acknowledgement of its drain. A refusal within
+# that time lets it try the next replica.
 CONFIRM_TIMEOUT_S = 0.8
 MAX_ENTRIES = 64
-# Entries and replicas are told at most once in so long of endpoints that
-# came or fell silent, and sooner of what an acknowledgement or a change
-# waits for. Each telling costs an exchange with every entry: 270 endpoints
-# that come within two seconds would cost 84,000.
+# Shortest time between two notifications of entries and replicas. Each costs
+# an exchange with every entry: if 270 endpoints started within 2 s and each
+# were reported at once, that would be 84,000 exchanges.
 NOTIFY_GAP_S = 0.1
+# The same for what an acknowledgement or a configuration change waits for.
 URGENT_GAP_S = 0.02
 
 
-# Why an announcement is not taken, and so not acknowledged.
+# Reasons for which an announcement is refused and so not acknowledged.
 REFUSALS = {
     FOREIGN: "this process has another service or address",
     FULL: "too many instances",
@@ -58,14 +58,14 @@
 
 
 class NotConfirmedError(DaemonError):
-    """Say that this replica cannot vouch for what it was told."""
+    """Report that this replica can't acknowledge an endpoint's message."""
 
 
 class Registrar:
-    """Hold what one control replica knows of endpoints and entries.
+    """Serve one replica's registry to endpoints, entries and replicas.
 
-    ``in_contact`` tells whether the replica has heard a majority of the
-    others lately; ``node`` gives it once it is loaded.
+    ``in_contact`` returns whether the replica is in contact with a majority;
+    ``node`` returns its node, None until it is loaded.
     """
 
     __slots__ = (
@@ -93,34 +93,34 @@
 
     @property
     def discovery(self) -> Discovery:
-        """Give what this replica knows of endpoints and entries."""
+        """Return this replica's registry, entry sessions and peers."""
         return self._discovery
 
     @property
     def instance_count(self) -> int:
-        """Count the instances that announce here."""
+        """Return the number of instances registered here."""
         return len(self._discovery.registry)
 
     @property
     def entry_count(self) -> int:
-        """Count the entries heard of lately by any replica."""
+        """Return the number of entries recently seen by any replica."""
         return self._discovery.count_entries(boot_time())
 
     def applied(self) -> dict[str, int]:
-        """Map each entry that asks here to the tree it has in force."""
+        """Map the entries that watch here to the tree index each applies."""
         return self._discovery.sessions.applied(boot_time())
 
     def has_entry_behind(self, index: int) -> bool:
-        """Tell whether an entry in touch has an older tree in force."""
+        """Return whether a connected entry has a tree older than an index."""
         return self._discovery.has_lagging_entry(index, boot_time())
 
     def notify_long_polls(self) -> None:
-        """Wake the entries' questions: the tree or the group changed."""
+        """Answer the held long polls soon: the tree or the group changed."""
         self._update_peers()
         self._changes.notify(URGENT_GAP_S)
 
     def expire(self) -> None:
-        """Drop the instances and entries that have fallen silent."""
+        """Expire the instances and entries that have been silent too long."""
         now = boot_time()
         self._refusals.report(now)
         self._update_peers()
@@ -139,21 +139,21 @@
 
     @property
     def generation(self) -> int:
-        """Count the changes of what announces here."""
+        """Return the registry's generation, which counts its changes."""
         return self._discovery.registry.generation
 
     def present(self) -> list[Announcement]:
-        """List what announces here."""
+        """List the announcements registered here."""
         return self._discovery.registry.present(boot_time())
 
     def restore_endpoints(self, announcements: list[Announcement]) -> None:
-        """Take the endpoints that were known before this start."""
+        """Restore the endpoints saved before this start."""
         now = boot_time()
         for announcement in announcements:
             self._discovery.registry.restore(announcement, now)
 
     def record_refused(self, reason: str) -> None:
-        """Count what cannot be taken for an endpoint's word."""
+        """Count an announcement that is refused."""
         self._refusals.record(reason, boot_time())
 
     def _refuse(self, reason: str) -> NotConfirmedError:
@@ -161,7 +161,10 @@
         return NotConfirmedError(reason)
 
     def _is_declared(self, service: str) -> bool:
-        """Tell whether a configuration in force may name a service."""
+        """Return whether the configuration may declare a service.
+
+        True also where this replica can't know the current configuration.
+        """
         node = self._node()
         if node is None or not self._in_contact():
             return True
@@ -173,9 +176,9 @@
     async def announce(
         self, announcement: Announcement, sequence: int
     ) -> None:
-        """Take an instance's word; returning acknowledges it.
+        """Register an announcement; a return acknowledges it.
 
-        :raises NotConfirmedError: ask another replica
+        :raises NotConfirmedError: not acknowledged; try another replica
         """
         now = boot_time()
         if (
@@ -185,8 +188,8 @@
             raise NotConfirmedError("neither replicas nor entries in reach")
         known = self._discovery.registry.is_registered(announcement.process)
         if not known and not self._is_declared(announcement.service):
-            # Whoever wrote this is no endpoint of ours. Taken, it would end
-            # the process that has this instance's name.
+            # The sender is not one of our endpoints. Registering it would
+            # end the process that has the same instance name.
             raise self._refuse("service is not declared")
         before = self._discovery.registry.generation
         outcome = self._discovery.registry.register(
@@ -210,17 +213,17 @@
             await self._confirm(announcement.process)
 
     async def end(self, instance: str, incarnation: int | None) -> None:
-        """Take a process's farewell; returning acknowledges it.
+        """End a process that stops; a return acknowledges it.
 
-        Without its incarnation it is that of the latest process known.
+        Without an incarnation, end the instance's latest known process.
 
-        :raises NotConfirmedError: ask another replica
+        :raises NotConfirmedError: not acknowledged; try another replica
         """
         process = self._discovery.registry.latest(instance)
         if incarnation is not None:
             process = (instance, incarnation)
         if self._discovery.registry.is_superseded(process):
-            # Held up by a partition: the instance has started again.
+            # A partition delayed the message; the instance has restarted.
             raise self._refuse(REFUSALS[OUTDATED])
         if self._discovery.registry.end(process, boot_time()):
             log(
@@ -231,30 +234,30 @@
         await self._confirm(process)
 
     def nearest(self, zone: str) -> str | None:
-        """Return the address of a replica in a zone, if one is heard.
+        """Return the address of a reachable replica in a zone, if any.
 
-        Endpoints that announce themselves within their availability zone
-        send no bytes between zones.
+        Endpoints that announce to a replica of their own availability zone
+        cause no traffic between zones.
         """
         node = self._node()
         if node is None:
             return None
         discovery = self._discovery
-        # A replica that was replaced stays listed for a while. Endpoints
-        # sent there would wait a second before each announcement arrives.
-        heard = {
+        # A replaced replica stays listed for a while. Endpoints directed to
+        # it would lose a second before each announcement arrives.
+        reachable = {
             discovery.own,
             *discovery.peers.reachable_replicas(boot_time()),
         }
         for member in node.replica.membership.members:
             if member.availability_zone != zone:
                 continue
-            if member.grpc_address in heard:
+            if member.grpc_address in reachable:
                 return member.http_address
         return None
 
     def resolve(self, zone: str | None) -> list[str]:
-        """Return the entries that a caller in a zone should use."""
+        """Return the addresses of entries for a caller in a zone."""
         node = self._node()
         evacuated = () if node is None else node.machine.evacuations.zones
         return self._discovery.usable_entries(
@@ -262,7 +265,7 @@
         )
 
     async def handle_watch(self, request: WatchRequest) -> WatchReply:
-        """Answer an entry's question, at once where there is news."""
+        """Reply to an entry's watch, at once if there are changes."""
         discovery = self._discovery
         now = boot_time()
         known = discovery.sessions.generation
@@ -278,8 +281,8 @@
                     break
                 await self._changes.wait(left_s)
         except asyncio.CancelledError:
-            # Its connection is gone, most likely with the entry: callers
-            # are not sent there until it asks again.
+            # The connection ended, most likely because the entry stopped:
+            # callers are not directed to it until it sends a new watch.
             discovery.sessions.close(request.entry.name)
             self._changes.notify(NOTIFY_GAP_S)
             raise
@@ -287,7 +290,7 @@
         return self._build_reply(request)
 
     async def handle_peer_request(self, request: PeerRequest) -> PeerReply:
-        """Answer another replica's question, at once where there is news."""
+        """Reply to another replica's poll, at once if there are changes."""
         discovery = self._discovery
         now = boot_time()
         discovery.peers.record_request(request, now)
@@ -299,53 +302,57 @@
             await self._changes.wait(left_s)
         return discovery.build_reply(request, boot_time())
 
-    async def handle_confirmation(self, seen: Confirmation) -> Acknowledgement:
-        """Take another replica's confirmation."""
+    async def handle_confirmation(
+        self, confirmation: Confirmation
+    ) -> Acknowledgement:
+        """Record another replica's confirmation."""
         discovery = self._discovery
         discovery.peers.record_confirmation(
-            seen, discovery.registry.epoch, boot_time()
+            confirmation, discovery.registry.epoch, boot_time()
         )
         self._progress.notify()
         return Acknowledgement()
 
     def handle_reply(self, address: str, reply: PeerReply) -> None:
-        """Take another replica's answer."""
+        """Apply another replica's reply to a poll."""
         discovery = self._discovery
-        wanted = reply.awaited_generation
+        awaited = reply.awaited_generation
         peer = discovery.peers.find(address)
         known = 0 if peer is None else peer.awaited_generation
         if discovery.apply_reply(address, reply, boot_time()):
-            urgent = wanted > known
+            urgent = awaited > known
             self._changes.notify(URGENT_GAP_S if urgent else NOTIFY_GAP_S)
         self._progress.notify()
 
     async def wait_progress(self, timeout_s: float) -> None:
-        """Wait until an entry or a replica has said what it knows."""
+        """Wait until an entry or a replica reports the state it holds."""
         await self._progress.wait(timeout_s)
 
     async def _confirm(self, process: Process) -> None:
-        """Wait until each entry in touch knows that a process leaves.
+        """Wait until every connected entry has received a process's drain.
 
-        An acknowledged leaving binds all entries. One that does not know
-        would send calls to a process that is about to exit.
+        After the acknowledgement no entry may call the process. One that
+        has not received the drain would send calls to a process that is
+        about to exit.
 
-        :raises NotConfirmedError: some entry did not say so in time
+        :raises NotConfirmedError: an entry did not confirm in time, or no
+            majority of the replicas is in contact
         """
         discovery = self._discovery
         generation = discovery.registry.changed_in(process)
         discovery.request_confirmation(generation)
         self._changes.notify(URGENT_GAP_S)
-        give_up_at = boot_time() + CONFIRM_TIMEOUT_S
+        deadline = boot_time() + CONFIRM_TIMEOUT_S
         while True:
             now = boot_time()
             discovery.peers.detect_pause(now)
             if not self._in_contact():
-                # Entries on the other side of a cut know nothing of it.
+                # Entries across a partition have not received the drain.
                 raise NotConfirmedError("no majority of replicas in reach")
             behind = discovery.unconfirmed(generation, now)
             if not behind:
                 return
-            if now >= give_up_at:
+            if now >= deadline:
                 log(
                     Event.DRAIN_UNCONFIRMED,
                     "warning",
@@ -353,11 +360,11 @@
                     behind=behind,
                 )
                 raise NotConfirmedError("not every entry has confirmed")
-            await self._progress.wait(give_up_at - now)
+            await self._progress.wait(deadline - now)
 
     @property
     def _is_current(self) -> bool:
-        """Tell whether entries can rely on what this replica says."""
+        """Return whether entries may rely on this replica's state."""
         if self._node() is None or not self._in_contact():
             return False
         return self._discovery.is_caught_up(boot_time())
@@ -369,7 +376,7 @@
             return True
         node = self._node()
         if node is None or not self._in_contact():
-            # The entry may find a replica that is in contact.
+            # Replying lets the entry watch a replica that is in contact.
             return True
         if node.machine.tree.index > request.index:
             return True
@@ -380,11 +387,11 @@
         return node.replica.log.membership_index > request.members
 
     def _should_refer(self, request: WatchRequest) -> bool:
-        """Tell whether an entry should first hear of a nearer replica.
+        """Return whether to refer an entry to a replica in its own zone.
 
-        At its start it asks any seed. Told all endpoints by one of another
-        zone, 250 entries would take 7.5 MB between zones after each loss
-        of power.
+        A starting entry watches any seed. If seeds of other zones sent all
+        endpoints, 250 entries would transfer 7.5 MB between zones after
+        each loss of power.
         """
         if request.members >= 0:
             return False
@@ -411,9 +418,9 @@
     def _build_reply(self, request: WatchRequest) -> WatchReply:
         discovery = self._discovery
         now = boot_time()
-        refers = self._should_refer(request)
+        should_refer = self._should_refer(request)
         reply = WatchReply(
-            {} if refers else discovery.deltas(request, now),
+            {} if should_refer else discovery.deltas(request, now),
             self.entry_count,
             members=request.members,
             unreachable=discovery.unreachable(request, now),
@@ -429,8 +436,8 @@
             members=max(node.replica.log.membership_index, request.members),
             replicas=_replicas_since(node, request.members),
         )
-        if refers or not self._in_contact():
-            # Out of contact it may know an old tree only.
+        if should_refer or not self._in_contact():
+            # Out of contact, this replica's tree may be outdated.
             return reply
         return msgspec.structs.replace(
             reply,
@@ -442,7 +449,7 @@
 
 
 def _bounds_warm_up(node: Node) -> bool:
-    """Tell whether a service bounds the calls to its cold endpoints."""
+    """Return whether a service bounds the calls to cold endpoints."""
     for document in node.machine.tree.documents.values():
         for service in document["services"].values():
             if "warm_up_per_s" in service:
@@ -451,7 +458,7 @@
 
 
 def _replicas_since(node: Node, known: int) -> list[ReplicaInfo] | None:
-    """List the replicas, if the group changed since a log index."""
+    """List the replicas; None if unchanged since a log index."""
     if node.replica.log.membership_index <= known:
         return None
     found = []
