--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -53,17 +53,17 @@
 from .senders import Sender
 
 DRAIN_TICK_S = 0.05
-# What an answer and the last request it allows may take on the way.
+# Network delay of a directory's answer and of the last call based on it.
 KEEP_MARGIN_S = 0.5
 RETRY_S = 0.5
 SETTLE_S = 2.0
 
 
 class EntryDaemon(Daemon):
-    """Stand between callers and upstreams."""
+    """Route calls to the upstreams that announce to this or other entries."""
 
     def prepare(self) -> None:
-        """Build the decisions' state and mount the callers' side."""
+        """Build the balancer and mount the handlers of calls and pages."""
         settings = self._settings
         own = EntryInfo(
             settings.name, settings.http_address, settings.availability_zone
@@ -81,8 +81,8 @@
         self._directory = Directory(own, random.random())
         self._services: dict[str, Service] = {}
         self._claimer = Claimer(settings, self._links, self._loop)
-        self._claiming = 0
-        self._follower = Follower(settings, self._links, self._apply)
+        self._open_claims = 0
+        self._follower = Follower(settings, self._links, self._apply_documents)
         self._gossiper = Gossiper(
             settings=settings,
             links=self._links,
@@ -135,7 +135,7 @@
         self.every(0, self._reporter.run)
 
     def gauges(self) -> dict[str, float]:
-        """Give what tells whether this entry can serve."""
+        """Return the gauges that show whether this entry can serve."""
         now = boot_time()
         return {
             "in_flight": self._balancer.in_flight,
@@ -148,18 +148,18 @@
         }
 
     async def finish(self) -> None:
-        """Leave the directory, outlast every answer, end the calls."""
+        """Leave the directory, outlast cached answers, finish the calls."""
         self._directory.drain()
         log(Event.DRAINING)
         await self._gossiper.exchange_all()
-        # A caller may have been given this address a moment ago and may
-        # keep it that long; closing earlier would refuse its connection.
+        # A caller may have just received this address and may cache it for
+        # that long; closing earlier would refuse its connection.
         await asyncio.sleep(self._settings.entries_keep_s + KEEP_MARGIN_S)
-        # Nobody should come any more. Who does is sent away with "not
-        # run", and each connection ends with the answer it waits for.
+        # No more calls are expected. Any that arrive are refused as not
+        # run, and each connection is closed after its pending answer.
         self._http.disable_keep_alive()
         self._handler.refusal = "entry is leaving"
-        while self._handler.active or self._claiming:
+        while self._handler.active or self._open_claims:
             await asyncio.sleep(DRAIN_TICK_S)
         await self._settle_all()
         await self._follower.leave()
@@ -172,7 +172,7 @@
         return self._handler.active
 
     def close(self) -> None:
-        """Close the pages and let go of the helping threads."""
+        """Close the pages and stop the dispatcher and the prober."""
         close_pages()
         self._dispatcher.stop()
         self._prober.stop()
@@ -180,8 +180,8 @@
     def open_call(self, call: PendingCall) -> None:
         """Admit a call; its actions are queued on it."""
         if not self._follower.may_act():
-            # The tree at hand may have been replaced elsewhere; another
-            # entry may know.
+            # The tree may have been superseded; another entry may have one
+            # that is confirmed.
             call.put(Refuse(0, "configuration not confirmed", RETRY_S))
             return
         rule = self._claimed_rule(call)
@@ -191,16 +191,16 @@
         started_at = self._loop.time()
         wait_s = call.arrival.min_deadline_s(rule.deadline_s)
 
-        def answered(answer: ClaimAnswer | None) -> None:
-            self._claiming -= 1
+        def on_answer(answer: ClaimAnswer | None) -> None:
+            self._open_claims -= 1
             if not self._may_send(call, answer):
                 return
             left_s = wait_s - (self._loop.time() - started_at)
             self._dispatcher.admit(call, max(0.0, left_s))
 
-        self._claiming += 1
+        self._open_claims += 1
         assert call.claim is not None
-        self._claimer.claim(call.claim, wait_s, answered)
+        self._claimer.claim(call.claim, wait_s, on_answer)
 
     def _claimed_rule(self, call: PendingCall) -> Rule | None:
         arrival = call.arrival
@@ -238,22 +238,22 @@
             await asyncio.sleep(DRAIN_TICK_S)
 
     def end_attempt(self, call: PendingCall, result: Result) -> None:
-        """Take the end of an attempt."""
+        """Record the end of an attempt."""
         self._dispatcher.end_attempt(call, result)
 
     def close_call(self, call: PendingCall) -> None:
-        """Forget a call whose worker has written its answer."""
+        """Remove a call whose worker has written its answer."""
         self._dispatcher.close_call(call)
 
     def end_instance(self, instance: str, address: str) -> None:
-        """Take word that an instance has left; here none have names."""
+        """Do nothing: endpoints that announce to entries have no names."""
 
     def announce(
         self, announcement: Announcement, key: str
     ) -> dict[str, float]:
-        """Take an endpoint's word; return its lease.
+        """Record an endpoint's announcement; return its lease.
 
-        :raises AnnouncementError: it was not taken
+        :raises AnnouncementError: it is refused
         """
         now = boot_time()
         lease = self._announcements.take(announcement, key, now)
@@ -281,13 +281,13 @@
         }
 
     def _sweep(self) -> None:
-        self._know_entries()
+        self._update_group()
         self._runner.run_deferred()
         self._dispatcher.sweep()
         self._connections.sweep()
 
-    def _know_entries(self) -> None:
-        """Tell the decisions which entries share the cold endpoints."""
+    def _update_group(self) -> None:
+        """Update the group of entries that share the cold endpoints."""
         zones = {}
         for info in self._directory.usable(boot_time()):
             zones[info.name] = info.availability_zone
@@ -299,7 +299,7 @@
         now = self._loop.time()
         self._dispatcher.perform(self._balancer.update_upstreams(live, now))
 
-    def _apply(self, reply: FollowReply) -> None:
+    def _apply_documents(self, reply: FollowReply) -> None:
         now = self._loop.time()
         assert reply.documents is not None
         services = self._services = read_services(reply.documents)
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -1,7 +1,7 @@
-"""Run the router role: an entry that control tells all it needs.
+"""Run the router role: an entry that gets all its state from control.
 
-Callers speak to hosts and paths; routes of the configuration say which
-service a request goes to. Endpoints announce themselves to control.
+Callers send requests to hosts and paths, which the configuration's routes
+map to services. Endpoints announce themselves to control.
 """
 
 import asyncio
@@ -53,19 +53,19 @@
 DRAIN_TICK_S = 0.05
 EXPIRE_S = 0.5
 HEALTH_THREADS = 2
-# A router that has just started has its configuration in a tenth of a second
-# or two where control is there; calls are held so long, and not sent away.
+# If control is up, a router has its configuration 0.1 to 0.2 s after its
+# start; until then, at most for so long, calls are held and not refused.
 UNCONFIGURED_HOLD_S = 0.6
 UNCONFIGURED_RETRY_S = 0.2
 LEAVING_RETRY_S = 0.1
-# Of the time that a stop may take, this much is left for the last answers
-# to be written and for the process to end.
+# Part of the time limit of a stop that is reserved for writing the last
+# answers and ending the process.
 STOP_MARGIN_S = 0.5
-EVERYTHING = b"/"
+ALL_PATHS = b"/"
 
 
 class RouterDaemon(Daemon):
-    """Stand between callers and upstreams, told by control."""
+    """Route calls by the configuration and endpoints that control sends."""
 
     def __init__(
         self, settings: Settings, call_format: CallFormat | None = None
@@ -74,7 +74,7 @@
         self._format = call_format or CallFormat()
 
     def prepare(self) -> None:
-        """Build the decisions' state and mount the callers' side."""
+        """Build the balancer and mount the handlers of calls and health."""
         settings = self._settings
         self._balancer = Balancer(
             secrets.randbits(32),
@@ -85,19 +85,19 @@
         self._tree = TreeCopy()
         self._table: RouteTable | None = None
         self._phase = random.random()
-        self._members = -1
-        self._entries = 1
-        # Until a replica has counted all, this entry saves up hardly any
-        # extra sends: with the first replica's few, each would take the
-        # whole budget for its own.
+        self._membership_index = -1
+        self._entry_count = 1
+        # Whether a replica's count of entries was complete. Until then the
+        # burst of extra sends is MIN_BURST: a replica that has just started
+        # counts few entries, and each entry would use the whole budget.
         self._counted = False
         self._rate = CallRate()
         self._shares = ProbeShare()
         self._leaving = False
-        # A replica in contact with the others has told what it knows.
-        self._in_touch = False
+        # Whether a replica in contact with the others has replied.
+        self._in_contact = False
         self._pause = PauseDetector(boot_time())
-        # Calls that wait for word of control, and since when.
+        # Calls held until control replies, each with the time it arrived.
         self._held: list[tuple[float, PendingCall]] = []
         self._hold_until = boot_time() + UNCONFIGURED_HOLD_S
         self._watcher = Watcher(
@@ -129,7 +129,7 @@
             metrics=self._metrics,
             hedge=self._handler.hedge,
             query_load=self._prober.enqueue,
-            settle=_settle_nothing,
+            settle=_ignore_settlement,
         )
         self._reporter = QuarantineReporter(
             self._links,
@@ -140,29 +140,29 @@
         self._prober.on_result = self._dispatcher.record_probe
         self._handler.dispatcher = self
         self._handler.buffer_limit = self._buffer_bytes
-        self._http.add_handler(EVERYTHING, self._handler)
+        self._http.add_handler(ALL_PATHS, self._handler)
         health = self.add_listener(
             "health_address", settings.health_address, HEALTH_THREADS
         )
         if health is not None:
-            health.add_handler(EVERYTHING, self._answer_health)
-        self._share_extra()
-        self._share_inquiries()
-        self._bound_warm_ups()
+            health.add_handler(ALL_PATHS, self._answer_health)
+        self._limit_extra()
+        self._limit_inquiries()
+        self._limit_warm_ups()
 
     def begin(self) -> None:
-        """Start the periodic work."""
+        """Start the watcher and the periodic work."""
         self._watcher.start()
         self.every(SWEEP_S, self._sweep)
         self.every(EXPIRE_S, self._expire)
         self.every(0, self._reporter.run)
 
     def gauges(self) -> dict[str, float]:
-        """Give what tells whether this entry can serve."""
+        """Return the gauges that show whether this entry can serve."""
         return {
             "in_flight": self._balancer.in_flight,
             "upstreams": len(self._catalog.live()),
-            "entries": self._entries,
+            "entries": self._entry_count,
             "config_index": self._tree.index,
             "evacuated_zones": len(
                 self._balancer.evacuations.availability_zones
@@ -171,22 +171,22 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether calls can be served here."""
+        """Whether calls can be served here."""
         if self._leaving or self._table is None:
             return False
-        return self._in_touch and self._catalog.has_synced
+        return self._in_contact and self._catalog.has_synced
 
     async def finish(self) -> None:
-        """Leave the directory, serve those who still come, end the calls."""
+        """Leave the directory, serve late callers, finish the calls."""
         self._leaving = True
         log(Event.DRAINING)
         self._watcher.renew()
-        # Callers keep an answer of the directory for a while. Those who
-        # come meanwhile are served; each answer closes its connection.
+        # Callers cache the directory's answer for a while. Calls that arrive
+        # meanwhile are served; each answer closes its connection.
         self._http.disable_keep_alive()
         await asyncio.sleep(self._settings.send_on_s)
-        # What comes later might not be answered in time any more. Other
-        # entries can take it at once.
+        # Later calls might not be answered before the stop. They are
+        # refused, as other entries can serve them at once.
         self._handler.refusal_retry_s = LEAVING_RETRY_S
         self._handler.refusal = "entry is leaving"
         while self._handler.active:
@@ -199,39 +199,39 @@
         return self._handler.active
 
     def close(self) -> None:
-        """Let go of the helping threads."""
+        """Stop the watcher, the dispatcher and the prober."""
         self._watcher.stop()
         self._dispatcher.stop()
         self._prober.stop()
 
     def reload(self, settings: Settings) -> None:
-        """Take seeds and limits from settings that have changed."""
+        """Apply the seeds and limits of changed settings."""
         super().reload(settings)
         self._watcher.replace_seeds(settings.seeds)
-        self._share_extra()
-        self._share_inquiries()
-        self._bound_warm_ups()
+        self._limit_extra()
+        self._limit_inquiries()
+        self._limit_warm_ups()
 
     def open_call(self, call: PendingCall) -> None:
-        """Admit a call; its actions are queued on it."""
+        """Admit or hold a call; its actions are queued on it."""
         self._rate.count(boot_time())
-        self._look_for_pause()
-        if self._must_hold():
+        self._detect_pause()
+        if self._is_holding():
             self._held.append((boot_time(), call))
             return
         self._route(call)
 
-    def _must_hold(self) -> bool:
-        """Tell whether calls wait for word of control."""
+    def _is_holding(self) -> bool:
+        """Return whether calls are held until control replies."""
         now = boot_time()
         if not self._leaving and not self.ready and now < self._hold_until:
             return True
         return self._pause.is_holding(now)
 
     def _buffer_bytes(self, host: str, path: str) -> int:
-        """Tell how much of a body to keep; worker threads call this.
+        """Return how many bytes of a body to buffer, for the call's route.
 
-        A table never changes once it is in force.
+        Called by worker threads: a table never changes once in force.
         """
         table = self._table
         route = None if table is None else table.find(host, path)
@@ -252,11 +252,11 @@
         self._dispatcher.admit_with_rule(call, call.record.service, route.rule)
 
     def end_attempt(self, call: PendingCall, result: Result) -> None:
-        """Take the end of an attempt."""
+        """Record the end of an attempt."""
         self._dispatcher.end_attempt(call, result)
 
     def close_call(self, call: PendingCall) -> None:
-        """Forget a call whose worker has written its answer."""
+        """Remove and log a call whose worker has written its answer."""
         self._dispatcher.close_call(call)
         self._log_call(call)
 
@@ -278,14 +278,14 @@
         )
 
     def end_instance(self, instance: str, address: str) -> None:
-        """Take word that an instance has left its address."""
+        """Remove an instance that has left its address."""
         if self._catalog.remove_instance(instance, address, boot_time()):
             log(Event.INSTANCE_GONE, instance=instance)
             self._update_upstreams()
 
     def build_request(self, hold_s: float) -> WatchRequest:
-        """Build the question for a control replica."""
-        word = EntryInfo(
+        """Build the next request to a control replica."""
+        info = EntryInfo(
             self._settings.name,
             self._settings.http_address,
             self._settings.availability_zone,
@@ -293,10 +293,10 @@
         )
         self._shares.reported = round(self._rate.per_s(boot_time()), 1)
         return WatchRequest(
-            word,
+            info,
             self._catalog.watermarks,
             self._tree.index,
-            self._members,
+            self._membership_index,
             hold_s,
             self._shares.reported,
             self._balancer.quarantine_index,
@@ -305,27 +305,27 @@
         )
 
     def handle_reply(self, replica: str, reply: WatchReply) -> None:
-        """Take a control replica's answer."""
+        """Apply a control replica's reply."""
         ready = self.ready
-        # What was under way while this process stood still is old.
-        stale = self._look_for_pause()
+        # A reply that was in flight while this process was paused is stale.
+        stale = self._detect_pause()
         if reply.current and not stale:
             self._pause.confirm_contact()
-            self._in_touch = True
-        self._members = max(self._members, reply.members)
+            self._in_contact = True
+        self._membership_index = max(self._membership_index, reply.members)
         if reply.replicas is not None:
             self._watcher.update(reply.replicas)
             self._replicas = [one.address for one in reply.replicas]
-        self._count(reply)
+        self._apply_totals(reply)
         if reply.group is not None:
             self._balancer.warm_ups.update_group(
                 reply.group, self._loop.time()
             )
-        # Before the tree: an entry that starts acts as soon as it has one.
+        # Before the tree: a starting entry routes calls once it has one.
         if reply.evacuations is not None:
             self._dispatcher.apply_evacuations(reply.evacuations)
         if reply.tree is not None and self._tree.apply_reply(reply.tree):
-            self._apply()
+            self._apply_tree()
         if reply.quarantine is not None:
             self._dispatcher.apply_quarantine(reply.quarantine)
         changed = self._catalog.refresh(reply.unreachable, boot_time())
@@ -335,16 +335,16 @@
             self._update_upstreams()
         if self.ready != ready:
             self._watcher.renew()
-        self._release()
+        self._release_held()
 
-    def _count(self, reply: WatchReply) -> None:
+    def _apply_totals(self, reply: WatchReply) -> None:
         self._shares.set_total(reply.calls_per_s, reply.entries)
-        self._entries = max(self._entries, reply.entries)
+        self._entry_count = max(self._entry_count, reply.entries)
         self._counted |= reply.counted
-        self._share_extra()
-        self._share_inquiries()
+        self._limit_extra()
+        self._limit_inquiries()
 
-    def _look_for_pause(self) -> bool:
+    def _detect_pause(self) -> bool:
         paused_s = self._pause.observe(boot_time())
         if paused_s is None:
             return False
@@ -352,8 +352,8 @@
         self._watcher.renew()
         return True
 
-    def _release(self) -> None:
-        if not self._held or self._must_hold():
+    def _release_held(self) -> None:
+        if not self._held or self._is_holding():
             return
         held, self._held = self._held, []
         now = boot_time()
@@ -361,11 +361,12 @@
             call.arrival.deduct_wait(now - held_at)
             self._route(call)
 
-    def _apply(self) -> None:
+    def _apply_tree(self) -> None:
         documents = self._tree.documents
         self._balancer.configure(read_services(documents), self._loop.time())
-        # In one step, between two calls: worker threads that each took the
-        # new routes by themselves would answer by old and new in turn.
+        # Replaced in one step, between two calls: if each worker thread
+        # loaded the new routes by itself, answers would alternate between
+        # old and new routes.
         self._table = RouteTable(read_routes(documents, self._phase))
         self._limit_callers(read_limits(documents))
         log(
@@ -396,11 +397,11 @@
         )
 
     def _drop_connections(self, live: list[Announcement]) -> None:
-        """Close what is kept open to processes that are no more.
+        """Close the connections to processes that have ended.
 
-        One that crashed behind a cut closed none of its connections. What
-        is sent on such a connection is lost, and a call that must not run
-        twice with it, though a later process serves at the address.
+        A process that crashed during a partition closed none of them. A
+        request sent on such a connection is lost, and so is a call that
+        must not run twice, even if a later process serves at the address.
         """
         processes = {one.endpoint: one.process for one in live}
         for address, process in self._processes.items():
@@ -408,28 +409,28 @@
                 self._connections.close_idle(address)
         self._processes = processes
 
-    def _share_inquiries(self) -> None:
+    def _limit_inquiries(self) -> None:
         self._balancer.limit_inquiries(
-            self._settings.probes_per_s, self._shares.share(self._entries)
+            self._settings.probes_per_s, self._shares.share(self._entry_count)
         )
 
-    def _bound_warm_ups(self) -> None:
+    def _limit_warm_ups(self) -> None:
         self._balancer.warm_ups.set_margin(
             self._settings.warm_up_overage, self._settings.warm_up_slack_per_s
         )
 
-    def _share_extra(self) -> None:
+    def _limit_extra(self) -> None:
         if not self._settings.extra_fixed:
             return
         limit = ExtraLimit(
             self._settings.extra_ratio, self._settings.extra_fixed
         )
-        burst = limit.burst(self._entries) if self._counted else MIN_BURST
+        burst = limit.burst(self._entry_count) if self._counted else MIN_BURST
         self._balancer.limit_extra(limit.share, burst)
 
     def _sweep(self) -> None:
-        self._look_for_pause()
-        self._release()
+        self._detect_pause()
+        self._release_held()
         self._runner.run_deferred()
         self._dispatcher.sweep()
         self._connections.sweep()
@@ -443,5 +444,5 @@
         http.begin(status, [("Content-Length", "0")])
 
 
-def _settle_nothing(call: PendingCall, outcome: str) -> None:
-    """Settle no claim: routes declare no idempotency keys."""
+def _ignore_settlement(call: PendingCall, outcome: str) -> None:
+    """Do nothing: routes declare no idempotency keys to settle."""
