--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -178,7 +178,7 @@
             http.close_connection = True
             self._refuse(http, error.status, str(error), 0.0)
             return
-        http.opened = True
+        http.call_opened = True
         self._runner.schedule(self.dispatcher.open_call, call)
         try:
             self._process_actions(call, http)
--- a/packages/daemon/nutmegchute_daemon/connections.py
+++ b/packages/daemon/nutmegchute_daemon/connections.py
@@ -1,4 +1,4 @@
-"""Keep connections to endpoints, each used by one exchange at a time."""
+"""Pool connections to endpoints, each used by one exchange at a time."""
 
 import contextlib
 import http.client
@@ -15,15 +15,15 @@
 
 from .settings import split_address
 
-IDLE_PER_ENDPOINT = 64
-# Servers commonly close a connection after five idle seconds or more; one
-# older than this is closed here first, so that a request is not written
-# into a connection that is being closed.
-IDLE_S = 4.0
-# Of the time that an endpoint says it keeps an idle connection, this share
-# is used; the rest covers the way there.
-IDLE_SHARE = 0.75
-IDLE_MOST_S = 60.0
+MAX_IDLE_PER_ENDPOINT = 64
+# Servers commonly close a connection after five idle seconds or more. One
+# idle for longer than this is closed here first, so that no request is
+# written to a connection that is being closed.
+DEFAULT_IDLE_S = 4.0
+# The share used of the idle time that an endpoint's Keep-Alive header
+# allows; the rest covers the time that a request takes to get there.
+KEEP_ALIVE_SHARE = 0.75
+MAX_IDLE_S = 60.0
 
 
 _TIMEOUT = re.compile(r"timeout=([0-9]{1,6})")
@@ -38,26 +38,26 @@
         self._lock = threading.Lock()
         self._socket: socket.socket | None = None
         self._ended = False
-        # When the wait for the endpoint must be over, on the monotonic
-        # clock; none while nothing is waited for.
+        # When the wait for the endpoint times out, on the monotonic clock;
+        # None while there is no wait.
         self.wait_until: float | None = None
 
     @property
     def ended(self) -> bool:
-        """Tell whether the exchange was ended from outside."""
+        """Return whether the exchange was ended by another thread."""
         return self._ended
 
     def attach(self, sock: socket.socket) -> bool:
-        """Take the socket; False says the exchange is over already."""
+        """Attach the socket; return False if the exchange has ended."""
         with self._lock:
             self._socket = sock
             return not self._ended
 
     def detach(self) -> bool:
-        """Let go of the socket; False says it was shut meanwhile.
+        """Detach the socket; return False if it has been shut down.
 
-        After this the socket may serve another call, which an order
-        to end this exchange must not reach.
+        Afterwards the socket may serve another call, which must not be
+        affected when this exchange is ended.
         """
         with self._lock:
             self._socket = None
@@ -65,12 +65,12 @@
             return not self._ended
 
     def end(self) -> None:
-        """End the exchange from outside; a waiting thread wakes up."""
+        """End the exchange from another thread and wake the waiting one."""
         self._ended = True
-        self.shut()
+        self.shut_down()
 
-    def shut(self) -> None:
-        """Shut the socket, so that the endpoint sees the end."""
+    def shut_down(self) -> None:
+        """Shut the socket down, so that the endpoint sees it close."""
         with self._lock:
             if self._socket is None:
                 return
@@ -79,63 +79,63 @@
 
 
 class Answer(http.client.HTTPResponse):
-    """Notice bytes that follow the end of an answer."""
+    """Detect bytes that follow the end of an answer."""
 
-    over_read = False
+    has_excess_data = False
 
     def _close_conn(self) -> None:
-        # The file below buffers ahead. What it holds beyond this answer's
-        # end would be lost, and the rest of a second answer that nobody
-        # asked for would be given to the next call on the connection.
+        # The buffered file reads ahead. What it holds beyond the end of this
+        # answer would be lost, and the next call on the connection would
+        # receive the rest of a second, unsolicited answer.
         file = self.fp
         if file is not None and not self.will_close:
-            self.over_read = _holds_more(file)
+            self.has_excess_data = _has_more_data(file)
         super()._close_conn()  # type: ignore[misc]
 
 
 class Connection(HTTPConnection):
-    """Connect to an endpoint and notice what should not come."""
+    """Connect to an endpoint and detect whether it can be reused."""
 
     answer: Answer | None = None
-    # Whether the endpoint stopped reading before the request's end.
-    part_sent = False
+    # Whether the endpoint stopped reading before the end of the request.
+    partly_sent = False
 
     @property
-    def clean(self) -> bool:
-        """Tell whether another exchange may follow on the connection."""
-        if self.sock is None or self.answer is None or self.part_sent:
+    def is_reusable(self) -> bool:
+        """Return whether the connection can serve another exchange."""
+        if self.sock is None or self.answer is None or self.partly_sent:
             return False
-        return not self.answer.over_read
+        return not self.answer.has_excess_data
 
     def response_class(  # type: ignore[override]
         self, *args: Any, **values: Any
     ) -> Answer:
-        """Build the answer that is read next, and remember it."""
+        """Build the answer that is read next, and store it."""
         self.answer = Answer(*args, **values)
         return self.answer
 
 
 class ConnectionPool:
-    """Lend out connections to endpoints and take them back."""
+    """Pool idle connections by endpoint."""
 
     __slots__ = ("_idle", "_lock")
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        # With the time until which the connection may be used again.
+        # Each with the time until which it may be reused.
         self._idle: dict[str, deque[tuple[float, Connection]]] = {}
 
     def acquire(self, endpoint: str) -> Connection | None:
-        """Return an idle connection that still looks open, if any."""
+        """Remove and return an idle connection that looks open, if any."""
         now = time.monotonic()
         while True:
             with self._lock:
-                waiting = self._idle.get(endpoint)
-                if not waiting:
+                idle = self._idle.get(endpoint)
+                if not idle:
                     return None
-                until, connection = waiting.pop()
-            # Readable while idle means closed, or bytes nobody asked for:
-            # a second answer, which the next call must not be given.
+                until, connection = idle.pop()
+            # Readable while idle means closed, or an unsolicited answer,
+            # which the next call must not receive.
             sock = connection.sock
             fresh = until > now and sock is not None
             if fresh and not wait_for_read(sock, 0.0):
@@ -143,54 +143,57 @@
             connection.close()
 
     def open(self, endpoint: str, timeout_s: float) -> Connection:
-        """Return a connection that is not connected yet."""
+        """Build a connection that is not connected yet."""
         host, port = split_address(endpoint)
         return Connection(host, port, timeout=timeout_s)
 
     def release(
-        self, endpoint: str, connection: Connection, keep_s: float = IDLE_S
+        self,
+        endpoint: str,
+        connection: Connection,
+        keep_s: float = DEFAULT_IDLE_S,
     ) -> None:
-        """Keep a connection whose exchange came to its clean end."""
+        """Add a reusable connection to the pool for ``keep_s`` seconds."""
         until = time.monotonic() + keep_s
         with self._lock:
-            waiting = self._idle.setdefault(endpoint, deque())
-            waiting.append((until, connection))
+            idle = self._idle.setdefault(endpoint, deque())
+            idle.append((until, connection))
             surplus = None
-            if len(waiting) > IDLE_PER_ENDPOINT:
-                surplus = waiting.popleft()[1]
+            if len(idle) > MAX_IDLE_PER_ENDPOINT:
+                surplus = idle.popleft()[1]
         if surplus is not None:
             surplus.close()
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
         with self._lock:
-            waiting = self._idle.pop(endpoint, deque())
-        for _, connection in waiting:
+            idle = self._idle.pop(endpoint, deque())
+        for _, connection in idle:
             connection.close()
 
     def sweep(self) -> None:
-        """Close what has been idle too long, also of endpoints that left."""
+        """Close connections idle too long, also to endpoints that are gone."""
         now = time.monotonic()
         expired = []
         with self._lock:
-            for endpoint, waiting in list(self._idle.items()):
-                while waiting and waiting[0][0] <= now:
-                    expired.append(waiting.popleft()[1])
-                if not waiting:
+            for endpoint, idle in list(self._idle.items()):
+                while idle and idle[0][0] <= now:
+                    expired.append(idle.popleft()[1])
+                if not idle:
                     del self._idle[endpoint]
         for connection in expired:
             connection.close()
 
 
-def idle_s(keep_alive: str) -> float:
-    """Read from a Keep-Alive header how long a connection may be kept."""
+def parse_keep_alive(keep_alive: str) -> float:
+    """Return how long a connection may stay idle, in seconds."""
     found = _TIMEOUT.search(keep_alive)
     if found is None:
-        return IDLE_S
-    return min(IDLE_MOST_S, int(found[1]) * IDLE_SHARE)
+        return DEFAULT_IDLE_S
+    return min(MAX_IDLE_S, int(found[1]) * KEEP_ALIVE_SHARE)
 
 
-def _holds_more(file: io.BufferedReader) -> bool:
+def _has_more_data(file: io.BufferedReader) -> bool:
     sock = getattr(file.raw, "_sock", None)
     if sock is None:
         return False
--- a/packages/daemon/nutmegchute_daemon/exchanges.py
+++ b/packages/daemon/nutmegchute_daemon/exchanges.py
@@ -1,4 +1,4 @@
-"""Read callers' requests strictly and write answers in few pieces."""
+"""Parse callers' requests strictly and write answers in few packets."""
 
 import io
 import re
@@ -17,16 +17,18 @@
 from .protocols import OUTCOME_HEADER
 from .protocols import UNKNOWN
 
-HEADERS = 100
-# A caller that sends or takes nothing for so long frees its worker thread.
+MAX_HEADERS = 100
+# The connection of a caller that neither sends nor reads for this long is
+# closed, which frees its worker thread.
 CALLER_TIMEOUT_S = 10.0
-CHUNK_LINE_BYTES = 256
-TRAILERS = 32
+MAX_CHUNK_LINE_BYTES = 256
+MAX_TRAILERS = 32
 CRLF = b"\r\n"
 
-# What may stand only once: two values let two servers on the path read two
-# different ends of one request, and the rest becomes another's request.
-SINGLE = frozenset({b"content-length", b"transfer-encoding", b"host"})
+# Headers that may occur only once. With two values, two servers on the path
+# could disagree on where a request ends, and the rest of it would be parsed
+# as a request of its own (request smuggling).
+SINGLE_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"host"})
 
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
@@ -35,7 +37,7 @@
 
 
 class BadBodyError(DaemonError):
-    """Say why a request's body cannot be taken; nothing ran."""
+    """Report why a request's body is not accepted; nothing ran."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -43,7 +45,7 @@
 
 
 class HeaderLines:
-    """Check header lines on their way to the server's own reader."""
+    """Check header lines before the server's own reader parses them."""
 
     __slots__ = ("_fields", "_rfile", "_seen")
 
@@ -54,11 +56,11 @@
 
     @property
     def fields(self) -> list[tuple[str, str]]:
-        """List names and values as they came, repeated ones included."""
+        """Return names and values as received, repeated ones included."""
         return self._fields
 
     def readline(self) -> bytes:
-        """Return the next line; ValueError says what is wrong with it."""
+        """Return the next line; raise ValueError if it is malformed."""
         line: bytes = self._rfile.readline()
         if line in (b"", CRLF):
             return line
@@ -69,23 +71,23 @@
         if not _VALUE.fullmatch(value):
             raise ValueError("Control character in a header.")
         key = name.lower()
-        if key in SINGLE and key in self._seen:
+        if key in SINGLE_HEADERS and key in self._seen:
             raise ValueError(f"Header {key.decode()} is given twice.")
         self._seen.add(key)
         self._fields.append((name.decode(), value.decode("latin-1")))
-        if len(self._fields) > HEADERS:
-            raise ValueError(f"More than {HEADERS} headers.")
+        if len(self._fields) > MAX_HEADERS:
+            raise ValueError(f"More than {MAX_HEADERS} headers.")
         return line
 
 
 class HeaderReader(server.HeaderReader):
-    """Read headers by the server's reader, each line checked first."""
+    """Parse headers with the server's reader after checking each line."""
 
     def __init__(self, request: "StrictRequest") -> None:
         self._request = request
 
     def __call__(self, rfile: Any, hdict: Any = None) -> Any:
-        """Read the headers into the dictionary and keep every line."""
+        """Parse the headers into the dictionary and store every line."""
         lines = HeaderLines(rfile)
         headers = super().__call__(lines, hdict)
         _check_framing(headers, self._request.response_protocol)
@@ -96,19 +98,19 @@
 class ChunkLines:
     """Check the lines between the chunks of a body."""
 
-    __slots__ = ("_rfile", "close", "read", "trailing")
+    __slots__ = ("_rfile", "close", "in_trailers", "read")
 
     def __init__(self, rfile: Any) -> None:
         self._rfile = rfile
         self.read = rfile.read
         self.close = rfile.close
-        # Whether the last chunk has been read, and trailers follow.
-        self.trailing = False
+        # Whether the last chunk has been read, so that trailers follow.
+        self.in_trailers = False
 
     def readline(self) -> bytes:
-        """Return a chunk's size line; ValueError says it is malformed."""
-        line: bytes = self._rfile.readline(CHUNK_LINE_BYTES)
-        if self.trailing:
+        """Return a chunk's size line; raise ValueError if it is malformed."""
+        line: bytes = self._rfile.readline(MAX_CHUNK_LINE_BYTES)
+        if self.in_trailers:
             return line
         if not _CHUNK_LINE.fullmatch(line):
             raise ValueError("Malformed chunk size.")
@@ -116,35 +118,41 @@
 
 
 class Body:
-    """Read a request's body, no more of it than the limit allows."""
+    """Read a request's body up to a limit."""
 
-    __slots__ = ("_left", "_limit", "_read", "_request", "_taken")
+    __slots__ = (
+        "_bytes_read",
+        "_limit",
+        "_read",
+        "_remaining_bytes",
+        "_request",
+    )
 
     def __init__(self, request: "StrictRequest", limit: int) -> None:
         self._request = request
         self._limit = limit
-        self._taken = 0
+        self._bytes_read = 0
         length = request.inheaders.get(b"Content-Length", b"0")
-        self._left: int | None = int(length)
+        self._remaining_bytes: int | None = int(length)
         self._read = request.rfile.read
         if request.chunked_read:
-            self._left = None
+            self._remaining_bytes = None
 
     @property
     def whole(self) -> bool:
-        """Tell whether all of the body has been read."""
-        return self._left == 0
+        """Return whether all of the body has been read."""
+        return self._remaining_bytes == 0
 
     def read(self, size: int) -> bytes:
-        """Return up to so many bytes; none says that the body has ended.
+        """Return up to ``size`` bytes, or none at the end of the body.
 
-        :raises BadBodyError: it is too large, malformed or was cut short
+        :raises BadBodyError: it is too large, malformed or incomplete
         """
-        if self._left == 0:
+        if self._remaining_bytes == 0:
             return b""
         try:
             data: bytes = self._read(size)
-            if not data and self._left is None:
+            if not data and self._remaining_bytes is None:
                 self._skip_trailers()
         except TimeoutError:
             raise BadBodyError(408, "body did not come in time") from None
@@ -152,42 +160,42 @@
             raise BadBodyError(400, str(error)) from None
         except (OSError, MaxSizeExceeded):
             raise BadBodyError(413, "body is too large") from None
-        self._taken += len(data)
-        if self._taken > self._limit:
+        self._bytes_read += len(data)
+        if self._bytes_read > self._limit:
             raise BadBodyError(413, f"body is over {self._limit} bytes")
-        if self._left is None:
+        if self._remaining_bytes is None:
             if not data:
-                self._left = 0
+                self._remaining_bytes = 0
             return data
         if not data:
-            # Without this the half that came would be sent on as a whole
-            # request, and a loan could run with half its lines.
+            # Without this check the part received would be forwarded as a
+            # complete request, and a loan could run with half its lines.
             raise BadBodyError(400, "body was cut short")
-        self._left -= len(data)
+        self._remaining_bytes -= len(data)
         return data
 
     def _skip_trailers(self) -> None:
-        # Left in the buffer they would be read as the next request.
-        self._request.rfile.rfile.trailing = True
+        # Left in the buffer they would be parsed as the next request.
+        self._request.rfile.rfile.in_trailers = True
         for number, _ in enumerate(self._request.rfile.read_trailer_lines()):
-            if number >= TRAILERS:
-                raise ValueError(f"More than {TRAILERS} trailers.")
+            if number >= MAX_TRAILERS:
+                raise ValueError(f"More than {MAX_TRAILERS} trailers.")
 
 
 class StrictRequest(server.HTTPRequest):
-    """Refuse requests that another server could read differently."""
+    """Refuse requests that another server could parse differently."""
 
     def __init__(self, *args: Any, **values: Any) -> None:
         super().__init__(*args, **values)
         self.header_reader = HeaderReader(self)
         self.fields: list[tuple[str, str]] = []
         self._aborted = False
-        # Set once the call was told to the loop: from then on a failure
-        # of this program may no longer be called "not run".
-        self.opened = False
+        # Set once the call has been passed to the loop: from then on a
+        # failure of this program may not be reported as "not run".
+        self.call_opened = False
 
     def read_request_headers(self) -> bool:
-        """Read the headers; False says that a refusal was written."""
+        """Read the headers; return False if a refusal was written."""
         read = super().read_request_headers
         if not read():  # type: ignore[no-untyped-call]
             return False
@@ -197,7 +205,7 @@
         return True
 
     def respond(self) -> None:
-        """Answer through the gateway; the last piece is flushed."""
+        """Answer through the gateway and flush what is buffered."""
         if self.chunked_read:
             self.rfile = server.ChunkedRFile(
                 ChunkLines(self.conn.rfile), self.server.max_request_body_size
@@ -213,7 +221,7 @@
             self.conn.wfile.write(b"0\r\n\r\n")
         self.conn.wfile.flush()
         if self.chunked_read and not self.rfile.closed:
-            # The rest of an unread body would be taken for a request.
+            # The unread rest of the body would be parsed as a request.
             self.close_connection = True
 
     def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
@@ -226,7 +234,7 @@
         self.ensure_headers_sent()
 
     def send_headers(self) -> None:
-        """Write the head; it leaves with the first piece of the body."""
+        """Write the head; it is sent with the first piece of the body."""
         self.conn.wfile.hold()
         super().send_headers()
 
@@ -238,15 +246,15 @@
         self.conn.wfile.flush()
 
     def abort(self) -> None:
-        """Cut the connection, so that no caller takes a part for all."""
+        """Reset the connection, to show that the answer is incomplete."""
         self._aborted = True
         self.close_connection = True
         self.conn.reset()
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Refuse what never reached the loop, or report a failure."""
+        """Refuse a request before it reaches the loop, or report a failure."""
         status = str(status)
-        outcome = UNKNOWN if self.opened else NOT_RUN
+        outcome = UNKNOWN if self.call_opened else NOT_RUN
         body = msgspec.json.encode({"reason": msg or status[4:]})
         self.close_connection = True
         head = (
@@ -262,23 +270,23 @@
 
 
 class SocketReader(socket.SocketIO):
-    """Read a socket; while held, behave as if nothing had come."""
+    """Read from a socket; while held, act as if no data had arrived."""
 
     def __init__(self, sock: socket.socket) -> None:
         super().__init__(sock, "rb")
         self.held = False
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read into a buffer; None says that nothing has come."""
+        """Read into a buffer; return None if no data has arrived."""
         if self.held:
             return None
         return super().readinto(buffer)
 
 
 class RequestReader(io.BufferedReader):
-    """Read requests by the interpreter's own buffering, written in C.
+    """Read requests with the interpreter's buffered reader, written in C.
 
-    The server's default reader is written in Python and took a fifth of
+    The server's default reader is written in Python and takes a fifth of
     the processor time of a call.
     """
 
@@ -288,7 +296,7 @@
         self.bytes_read = 0
 
     def has_data(self) -> bool:
-        """Tell whether a part of the next request is buffered."""
+        """Return whether part of the next request is buffered."""
         self._source.held = True
         try:
             return bool(self.peek(1))
@@ -297,7 +305,7 @@
 
 
 class AnswerWriter:
-    """Write to a socket; a held head leaves with what follows it."""
+    """Write to a socket; a held head is sent with what follows it."""
 
     __slots__ = ("_held", "_holding", "_socket", "bytes_written")
 
@@ -308,11 +316,11 @@
         self.bytes_written = 0
 
     def hold(self) -> None:
-        """Keep what is written until the next flush."""
+        """Buffer what is written until the next flush."""
         self._holding = True
 
     def write(self, data: bytes) -> int:
-        """Write or keep the bytes."""
+        """Send or buffer the bytes."""
         if self._holding:
             self._held += data
         else:
@@ -320,7 +328,7 @@
         return len(data)
 
     def flush(self) -> None:
-        """Write what was kept."""
+        """Send what is buffered."""
         self._holding = False
         if self._held:
             held, self._held = self._held, bytearray()
@@ -339,15 +347,15 @@
 
     def __init__(self, http: Any, sock: Any, makefile: Any = None) -> None:
         super().__init__(http, sock, open_file)
-        # The listener's TCP_NODELAY is not inherited everywhere, and one
-        # delayed acknowledgement costs a caller 40 ms.
+        # Not every system lets accepted sockets inherit the listener's
+        # TCP_NODELAY, and one delayed acknowledgement costs a caller 40 ms.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(CALLER_TIMEOUT_S)
         self.ready_at = time.monotonic()
         self._reset = False
 
     def reset(self) -> None:
-        """Let the close reach the caller as an error, not as an end."""
+        """Make the close reach the caller as a reset, not as a clean end."""
         self._reset = True
         linger = struct.pack("ii", 1, 0)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -23,7 +23,7 @@
 from .connections import Connection
 from .connections import ConnectionPool
 from .connections import Exchange
-from .connections import idle_s
+from .connections import parse_keep_alive
 from .errors import DaemonError
 
 CONNECT_TIMEOUT_S = 0.25
@@ -292,7 +292,7 @@
             return
         self._finished = True
         # The upstream sees its connection close and can stop working.
-        self._exchange.shut()
+        self._exchange.shut_down()
         self._exchange.detach()
         self._response.close()
         self._connection.close()
@@ -323,8 +323,10 @@
         assert self._response is not None
         self._response.close()
         intact = self._exchange.detach()
-        if intact and self._connection.clean:
-            keep_s = idle_s(self._response.headers.get("keep-alive", ""))
+        if intact and self._connection.is_reusable:
+            keep_s = parse_keep_alive(
+                self._response.headers.get("keep-alive", "")
+            )
             self._connections.release(self._endpoint, self._connection, keep_s)
         else:
             self._connection.close()
@@ -439,7 +441,7 @@
             # An endpoint that sheds a call may answer and close before it
             # has read a long body. Its answer is read all the same: without
             # it a call that has not run would count as lost.
-            connection.part_sent = True
+            connection.partly_sent = True
         connection.timeout = max(MIN_TIMEOUT_S, deadline - time.monotonic())
         response = connection.getresponse()
         if response.status < FIRST_FINAL_STATUS:
--- a/packages/daemon/nutmegchute_daemon/servers.py
+++ b/packages/daemon/nutmegchute_daemon/servers.py
@@ -22,20 +22,20 @@
 from .exchanges import StrictRequest
 from .settings import split_address
 
-ASK_TIMEOUT_S = 5.0
-KEEP_ALIVE_S = 75
+RUN_TIMEOUT_S = 5.0
+IDLE_TIMEOUT_S = 75
 ACCEPT_BACKLOG = 512
-KEEP_ALIVE_CONNECTIONS = 4096
+MAX_KEEP_ALIVE_CONNECTIONS = 4096
 SERVER_NAME = "nutmegchute"
-HEADER_BYTES = 65536
-DRAIN_BYTES = 65536
+MAX_HEADER_BYTES = 65536
+DISCARD_BYTES = 65536
 LINGER_S = 1.0
-# When the server stops all answers are written, so a thread that has not
-# ended waits for the rest of a request, and its connection is closed at
-# once. In the library's own five seconds a router with half a request before
-# it ended 8.4 s after SIGTERM, and its vm kills after 6 s.
+# All answers are written when the server stops, so a thread that still runs
+# waits for the rest of a request, and its connection is closed at once. With
+# the library's five seconds, a router with an incomplete request pending
+# ends 8.4 s after SIGTERM, while its vm kills it after 6 s.
 STOP_TIMEOUT_S = 0
-# Threads of a listener at its start; more are started as they are needed.
+# Threads of a listener at its start; more are started on demand.
 INITIAL_THREADS = 4
 FULL_ANSWER = (
     b"HTTP/1.1 503 Service Unavailable\r\n"
@@ -52,7 +52,7 @@
 
 
 class LoopRunner:
-    """Run functions on the loop for threads that own no state."""
+    """Run functions on the loop for other threads, which own no state."""
 
     __slots__ = ("_deferred", "_loop")
 
@@ -61,25 +61,25 @@
         self._deferred: deque[tuple[Callable[..., Any], Any]] = deque()
 
     def schedule(self, function: Callable[..., Any], *args: Any) -> None:
-        """Run a function on the loop without waiting for it."""
+        """Run a function on the loop without waiting for its result."""
         self._loop.call_soon_threadsafe(function, *args)
 
     def defer(self, function: Callable[..., Any], *args: Any) -> None:
-        """Run a function on the loop when it next looks, soon enough.
+        """Run a function on the loop at the next ``run_deferred``.
 
-        Waking the loop costs five system calls and a turn of the
-        interpreter lock; what nobody waits for is spared them.
+        Waking the loop costs five system calls and a change of the thread
+        that holds the interpreter lock, which deferred functions avoid.
         """
         self._deferred.append((function, args))
 
     def run_deferred(self) -> None:
-        """Run what was left for later; the loop calls this."""
+        """Run the deferred functions; the loop calls this periodically."""
         while self._deferred:
             function, args = self._deferred.popleft()
             function(*args)
 
     def run_sync(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Run a function on the loop and return what it returns."""
+        """Run a function on the loop and return its result."""
         future: concurrent.futures.Future[Any] = concurrent.futures.Future()
 
         def run() -> None:
@@ -89,20 +89,20 @@
                 future.set_exception(error)
 
         self._loop.call_soon_threadsafe(run)
-        return future.result(ASK_TIMEOUT_S)
+        return future.result(RUN_TIMEOUT_S)
 
 
-def no_pages(_: Any, start: Callable[..., Any]) -> list[bytes]:
-    """Answer for a server that has no pages."""
+def answer_not_found(_: Any, start: Callable[..., Any]) -> list[bytes]:
+    """Answer 404 on a server without pages."""
     start("404 Not Found", [("Content-Length", "0")])
     return []
 
 
 class Gateway(wsgi.Gateway_10):
-    """Give calls to their handler, everything else to the pages.
+    """Route requests to their handler, or to the pages if there is none.
 
-    A call needs its raw target and its headers as they came, which the
-    dictionary that WSGI asks for no longer has.
+    A call needs its raw target and its headers as received, which the WSGI
+    environment does not contain.
     """
 
     def __init__(self, request: StrictRequest) -> None:
@@ -119,9 +119,9 @@
 
 
 class Workers(threadpool.ThreadPool):
-    """Start worker threads as connections need them, up to the most.
+    """Start worker threads on demand, up to the maximum.
 
-    A vm at its usual load uses a few of them. Starting all takes a router
+    A vm at its usual load uses a few of them. Starting all costs a router
     0.7 MB, and the library waits a tenth of a second for one that is not
     ready at once.
     """
@@ -131,9 +131,9 @@
         self._add(self.min)
 
     def put(self, obj: CallerConnection) -> None:
-        """Queue a connection; queue.Full says that there is no room."""
-        waiting: int = self._queue.qsize()  # type: ignore[attr-defined]
-        if waiting >= self.idle and self._count < self.max:
+        """Queue a connection; raise queue.Full if the queue is full."""
+        queued: int = self._queue.qsize()  # type: ignore[attr-defined]
+        if queued >= self.idle and self._count < self.max:
             self._add(1)
         super().put(obj)
 
@@ -148,20 +148,20 @@
 
 
 class Listener(wsgi.Server):
-    """Accept callers, bounded in what waits for a worker thread."""
+    """Accept callers and limit how many wait for a worker thread."""
 
     ConnectionClass = CallerConnection
-    max_request_header_size = HEADER_BYTES
-    keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS
+    max_request_header_size = MAX_HEADER_BYTES
+    keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
 
     def __init__(self, address: str, threads: int) -> None:
         super().__init__(
             split_address(address),
-            no_pages,
+            answer_not_found,
             numthreads=threads,
             server_name=SERVER_NAME,
             request_queue_size=ACCEPT_BACKLOG,
-            timeout=KEEP_ALIVE_S,
+            timeout=IDLE_TIMEOUT_S,
             shutdown_timeout=STOP_TIMEOUT_S,
         )
         self.requests = Workers(
@@ -177,11 +177,11 @@
         self._refused: deque[tuple[float, CallerConnection]] = deque()
 
     def add_handler(self, prefix: bytes, handler: Handler) -> None:
-        """Give requests whose target begins so to a handler."""
+        """Route requests whose target starts with a prefix to a handler."""
         self._handlers.append((prefix, handler))
 
     def handler_for(self, target: bytes) -> Handler | None:
-        """Return the handler of a target, if it has one of its own."""
+        """Return the handler of the first prefix that matches a target."""
         for prefix, handler in self._handlers:
             if target.startswith(prefix):
                 return handler
@@ -189,13 +189,13 @@
 
     @property
     def can_add_keepalive_connection(self) -> bool:
-        """Tell whether an answer may leave its connection open."""
+        """Return whether connections may stay open after an answer."""
         if self.closing:
             return False
         return bool(super().can_add_keepalive_connection)
 
     def process_conn(self, conn: CallerConnection) -> None:
-        """Hand a readable connection to a worker, or refuse it at once."""
+        """Queue a readable connection for a worker, or refuse it at once."""
         conn.ready_at = time.monotonic()
         try:
             self.requests.put(conn)
@@ -203,7 +203,7 @@
             self._refuse(conn)
 
     def sweep(self) -> None:
-        """Close refused connections whose caller has had time to read."""
+        """Close refused connections whose callers have had time to read."""
         oldest = time.monotonic() - LINGER_S
         while self._refused and self._refused[0][0] <= oldest:
             _, conn = self._refused.popleft()
@@ -212,28 +212,28 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Log a failure of a handler; callers that go away are usual."""
+        """Log a handler's failure; disconnecting callers are not logged."""
         if level < logging.WARNING:
             return
         trace = format_exc() if traceback else ""
         log(Event.CALL_FAILED, "error", detail=msg, trace=trace)
 
     def _refuse(self, conn: CallerConnection) -> None:
-        # Closing with bytes unread would reset the connection, and the
-        # refusal would be lost with it. So what has come is read, the
-        # sending side is closed, and the rest follows a second later.
+        # Closing with unread bytes would reset the connection, and the
+        # caller would lose the refusal. So what has arrived is read, the
+        # sending side is shut down, and the socket is closed a second later.
         sock = conn.socket
         with contextlib.suppress(OSError):
             sock.settimeout(0.0)
             with contextlib.suppress(BlockingIOError):
-                sock.recv(DRAIN_BYTES)
+                sock.recv(DISCARD_BYTES)
             sock.send(FULL_ANSWER)
             sock.shutdown(socket.SHUT_WR)
         self._refused.append((time.monotonic(), conn))
 
 
 class HttpServer:
-    """Serve pages and the handlers of calls."""
+    """Serve pages and call handlers on a thread of its own."""
 
     __slots__ = ("_server", "_thread", "address")
 
@@ -245,32 +245,35 @@
         )
 
     def mount(self, pages: Application) -> None:
-        """Serve pages where no handler takes the request."""
+        """Serve pages for requests without a handler."""
         self._server.wsgi_app = pages
 
     def add_handler(self, prefix: bytes, handler: Handler) -> None:
-        """Give requests whose target begins so to a handler."""
+        """Route requests whose target starts with a prefix to a handler."""
         self._server.add_handler(prefix, handler)
 
-    def limit_body(self, most: int) -> None:
-        """Take no longer bodies, in bytes."""
-        self._server.max_request_body_size = most
+    def limit_body(self, limit: int) -> None:
+        """Set the size limit of request bodies, in bytes."""
+        self._server.max_request_body_size = limit
 
-    def limit_headers(self, most: int) -> None:
-        """Take no longer heads of requests, in bytes."""
-        self._server.max_request_header_size = most
+    def limit_headers(self, limit: int) -> None:
+        """Set the size limit of request heads, in bytes."""
+        self._server.max_request_header_size = limit
 
     def limit_idle(self, idle_s: float) -> None:
-        """Close connections that nobody uses for so long."""
+        """Set the time after which idle connections are closed."""
         self._server.timeout = idle_s
 
     def start(self) -> None:
-        """Listen and serve; OSError says the address cannot be had."""
+        """Listen and serve.
+
+        :raises OSError: the address cannot be bound
+        """
         self._server.prepare()
         self._thread.start()
 
     def sweep(self) -> None:
-        """Do the periodic work of the listener."""
+        """Close refused connections; called periodically."""
         self._server.sweep()
 
     def disable_keep_alive(self) -> None:
