--- a/packages/daemon/nutmegchute_daemon/deliveries.py
+++ b/packages/daemon/nutmegchute_daemon/deliveries.py
@@ -1,4 +1,4 @@
-"""Deliver replicas' messages, a batch per replica and turn."""
+"""Deliver replicas' messages in one batch per receiver."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class Deliveries:
-    """Send batches and hand the replies back; note who is unreachable.
+    """Send batches, pass the replies on and log unreachable replicas.
 
     ``introduce_to`` is called with an address at which a replica of another
     identity runs than the one addressed; its reply names no group.
@@ -49,11 +49,11 @@
         self._find_member = find_member
         self._receive = receive
         self._unreachable: set[str] = set()
-        # The loop itself holds tasks weakly only.
+        # The event loop keeps only weak references to tasks.
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(self, group: str, messages: list[Message]) -> None:
-        """Send messages to the replicas that they are for."""
+        """Send messages to their target replicas."""
         for target, batch in _by_target(messages).items():
             member = self._find_member(target)
             if member is None:
--- a/packages/daemon/nutmegchute_daemon/descriptions.py
+++ b/packages/daemon/nutmegchute_daemon/descriptions.py
@@ -23,10 +23,11 @@
 
 
 def describe_state(replica: Replica) -> str:
-    """Name what a replica is; a leader leads once it knows its own log.
+    """Return the state shown for a replica.
 
-    Operators read from the leader. One that has just been elected after a
-    start has applied nothing since its snapshot, and would show an empty tree.
+    A leader is shown as such only once it is ready. Operators read from the
+    leader, and one elected just after a start has applied nothing beyond its
+    snapshot, so that it would show an empty tree.
     """
     if replica.state == LEADER and not replica.is_ready:
         return TAKING_OVER
@@ -36,8 +37,8 @@
 def describe_member(
     replica: Replica, member: Member, now: float
 ) -> dict[str, Any]:
-    """Describe one member as a replica knows it."""
-    heard_at = replica.last_contact_at(member.identity)
+    """Describe one member from a replica's point of view."""
+    contact_at = replica.last_contact_at(member.identity)
     leads = member.identity == replica.leader
     kind = "voter" if member.voter else "learner"
     return {
@@ -48,5 +49,5 @@
         "http_address": member.http_address,
         "voter": member.voter,
         "match_index": replica.match_index(member.identity),
-        "silent_s": None if heard_at is None else now - heard_at,
+        "silent_s": None if contact_at is None else now - contact_at,
     }
--- a/packages/daemon/nutmegchute_daemon/endpoint_files.py
+++ b/packages/daemon/nutmegchute_daemon/endpoint_files.py
@@ -1,8 +1,8 @@
-"""Keep the endpoints known to a control replica over its restart.
+"""Save the endpoints known to a control replica across its restart.
 
-This is no agreed state. Endpoints announce themselves to a replica that has
-started within two seconds, one after the other. Until then entries that have
-started as well would crowd all calls onto the first few.
+This is not replicated state. After a replica starts, endpoints announce
+themselves to it one by one within 2 s. Until then, entries that have also
+restarted would send all calls to the first few endpoints.
 """
 
 import asyncio
@@ -16,31 +16,38 @@
 from .registrars import Registrar
 
 ENDPOINTS_FILE = "endpoints"
-NEW_FILE = "endpoints.new"
-# How often at most; an older list holds endpoints that have left since.
+TEMPORARY_FILE = "endpoints.new"
+# Shortest time between saves. The older a file is, the more endpoints it
+# lists that have stopped since.
 SAVE_PERIOD_S = 0.5
 
 _DECODER = msgspec.msgpack.Decoder(list[Announcement])
 
 
 class EndpointFile:
-    """Write the endpoints when they have changed, and read them at a start.
+    """Save changed endpoints to a file and restore them at a start.
 
-    Writing waits for the disk on a thread of its own: one that is slow or
-    hangs must not hold the loop.
+    The file is written on another thread, since a disk that is slow or
+    hangs must not block the event loop.
     """
 
-    __slots__ = ("_disk", "_failed", "_generation", "_registrar", "_writing")
+    __slots__ = (
+        "_disk",
+        "_failed",
+        "_generation",
+        "_registrar",
+        "_write_task",
+    )
 
     def __init__(self, disk: Disk, registrar: Registrar) -> None:
         self._disk = disk
         self._registrar = registrar
         self._generation = registrar.generation
-        self._writing: asyncio.Future[None] | None = None
+        self._write_task: asyncio.Future[None] | None = None
         self._failed = False
 
     def load(self) -> None:
-        """Hand the endpoints of before to the registrar."""
+        """Restore the saved endpoints in the registrar, if there are any."""
         try:
             data = self._disk.read(ENDPOINTS_FILE)
             found = _DECODER.decode(data)
@@ -54,19 +61,19 @@
         log(Event.RECALLED, endpoints=len(found))
 
     def save(self) -> None:
-        """Write the endpoints, if they have changed and the disk is idle."""
-        if self._writing is not None and not self._writing.done():
+        """Start a write if endpoints have changed and none is running."""
+        if self._write_task is not None and not self._write_task.done():
             return
         if self._generation == self._registrar.generation:
             return
         self._generation = self._registrar.generation
         data = msgspec.msgpack.encode(self._registrar.present())
-        self._writing = asyncio.ensure_future(self._write(data))
+        self._write_task = asyncio.ensure_future(self._write(data))
 
     async def _write(self, data: bytes) -> None:
         try:
             await asyncio.to_thread(
-                self._disk.replace, ENDPOINTS_FILE, NEW_FILE, data
+                self._disk.replace, ENDPOINTS_FILE, TEMPORARY_FILE, data
             )
         except OSError as error:
             if not self._failed:
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -1,4 +1,4 @@
-"""Exchange, between control replicas, what announces and asks at each."""
+"""Exchange registries and entry sessions between control replicas."""
 
 import asyncio
 from traceback import format_exc
@@ -15,19 +15,19 @@
 from .methods import WATCH
 from .registrars import Registrar
 
-# What a held question may take beyond the hold.
+# Time allowed for a long poll beyond its hold.
 PEER_MARGIN_S = 0.5
-# How long a connection to a replica that may be gone is waited for.
+# Timeout of connecting to a replica that may be gone.
 CONNECT_TIMEOUT_S = 0.2
 RETRY_S = 0.1
 MAX_RETRY_S = 0.5
-# A confirmation is of no use once its receiver has given up waiting.
+# Later than this, the receiver no longer waits for the confirmation.
 CONFIRMATION_TIMEOUT_S = 0.4
 CONFIRM_PERIOD_S = 0.2
 
 
 class PeerExchange:
-    """Hold an open question at each other replica and confirm for it."""
+    """Poll every other replica and send it the confirmations it awaits."""
 
     __slots__ = (
         "_confirm_task",
@@ -48,18 +48,18 @@
         links.serve(SEEN, registrar.handle_confirmation)
 
     def start(self) -> None:
-        """Begin to confirm."""
+        """Start sending confirmations."""
         self._confirm_task = asyncio.ensure_future(self._confirm())
 
     def stop(self) -> None:
-        """Ask and confirm no more."""
+        """Stop polling and sending confirmations."""
         for task in self._polls.values():
             task.cancel()
         if self._confirm_task is not None:
             self._confirm_task.cancel()
 
     def update_peers(self) -> None:
-        """Ask the replicas that there are now."""
+        """Poll each current peer; stop polling removed ones."""
         addresses = self._registrar.discovery.peers.addresses
         for address in list(self._polls):
             if address not in addresses:
@@ -94,8 +94,8 @@
             try:
                 self._registrar.handle_reply(address, reply)
             except Exception:
-                # Were the task to end with it, what announces there would
-                # never again reach the entries that ask here.
+                # If this ended the task, the endpoints registered at that
+                # replica would no longer reach the entries that watch here.
                 log(
                     Event.WORD_FAILED,
                     "error",
--- a/packages/daemon/nutmegchute_daemon/quarantine_servers.py
+++ b/packages/daemon/nutmegchute_daemon/quarantine_servers.py
@@ -1,4 +1,4 @@
-"""Take reports of requests that crash endpoints, on the leader."""
+"""Handle reports of requests that crash endpoints, on the leader."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class QuarantineServer:
-    """Put entries' reports and operators' orders into the log."""
+    """Propose entries' reports and operators' orders to the log."""
 
     __slots__ = ("_agreement", "_clock", "_loop")
 
@@ -28,13 +28,13 @@
         self._agreement = agreement
         self._clock = LedgerClock()
         self._loop = asyncio.get_running_loop()
-        links.serve(REPORT, self._take)
+        links.serve(REPORT, self._on_report)
 
     async def lift(self, order: Lift) -> bool:
-        """Forget a request that crashed endpoints; tell if it was known.
+        """Delete the case of a request; return whether there was one.
 
-        :raises NotLeaderError: ask the leader instead
-        :raises TimeoutError: the outcome is not known
+        :raises NotLeaderError: another replica leads, or none
+        :raises TimeoutError: the outcome is unknown
         """
         outcome = await self._agreement.propose(order)
         assert isinstance(outcome, Lifted)
@@ -47,7 +47,7 @@
             )
         return outcome.found
 
-    async def _take(self, request: QuarantineRequest) -> QuarantineReply:
+    async def _on_report(self, request: QuarantineRequest) -> QuarantineReply:
         agreement = self._agreement
         try:
             elapsed_s = self._clock.elapsed_s(
@@ -61,11 +61,11 @@
             return QuarantineReply(address, None)
         assert isinstance(outcome, Rulings)
         for one in outcome.quarantined:
-            _report(one)
+            _log_quarantined(one)
         return QuarantineReply(None, outcome.rulings)
 
 
-def _report(case: CaseStatus) -> None:
+def _log_quarantined(case: CaseStatus) -> None:
     log(
         Event.QUARANTINED,
         "warning",
--- a/packages/daemon/nutmegchute_daemon/quorums.py
+++ b/packages/daemon/nutmegchute_daemon/quorums.py
@@ -1,4 +1,4 @@
-"""Report which control replicas vote, and why none leads."""
+"""Log which control replicas vote, and which votes are missing."""
 
 from nutmegchute_core.memberships import Membership
 from nutmegchute_core.replicas import Replica
@@ -6,12 +6,12 @@
 from .events import Event
 from .events import log
 
-# Longer than any election; repeated so often while it lasts.
+# Longer than any election; also the period at which the event repeats.
 LEADERLESS_S = 5.0
 
 
 class QuorumReport:
-    """Log changes of the voters, and the votes that are missing."""
+    """Log changes of the voters and long times without a leader."""
 
     __slots__ = ("_leaderless_since", "_membership")
 
@@ -20,7 +20,7 @@
         self._leaderless_since = now
 
     def update(self, replica: Replica, now: float) -> None:
-        """Look at a replica's membership and at whether one leads."""
+        """Log a changed membership, or that there has long been no leader."""
         membership = replica.membership
         if membership != self._membership:
             self._membership = membership
@@ -49,8 +49,8 @@
 
 
 def _names(membership: Membership, identities: list[str]) -> list[str]:
-    found = []
+    names = []
     for identity in identities:
         member = membership.find(identity)
-        found.append(member.name if member is not None else identity)
-    return found
+        names.append(member.name if member is not None else identity)
+    return names
