--- a/packages/daemon/nutmegchute_daemon/disks.py
+++ b/packages/daemon/nutmegchute_daemon/disks.py
@@ -1,4 +1,4 @@
-"""Reach the files of one folder, and sync them."""
+"""Access and sync the files of one folder."""
 
 import fcntl
 import os
@@ -8,10 +8,10 @@
 
 
 class Disk:
-    """Offer the file operations that durability rests on.
+    """Provide the file operations of durable storage.
 
-    Nothing lasts before ``sync`` (a file's bytes) and ``sync_folder`` (its
-    name) have returned. Every method may raise OSError.
+    Data is durable only once ``sync`` (a file's bytes) and ``sync_folder``
+    (its name) have returned. Every method may raise OSError.
     """
 
     __slots__ = ("_folder", "_handles", "_lock")
@@ -22,8 +22,8 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._lock = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            # Two daemons appending to one log would each overwrite what
-            # the other has acknowledged.
+            # Two daemons appending to one log would overwrite entries that
+            # the other one has acknowledged.
             fcntl.lockf(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
@@ -31,7 +31,7 @@
 
     @property
     def path(self) -> str:
-        """Name the folder, for error messages."""
+        """Return the folder's path, for error messages."""
         return str(self._folder)
 
     def names(self) -> list[str]:
@@ -43,14 +43,14 @@
         return (self._folder / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end; the file is made when it is missing."""
+        """Append to a file; create it if it is missing."""
         handle = self._handle(name)
-        left = memoryview(data)
-        while left:
-            left = left[os.write(handle, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(handle, remaining) :]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size in bytes."""
         os.ftruncate(self._handle(name), size)
 
     def sync(self, name: str) -> None:
@@ -58,23 +58,23 @@
         os.fsync(self._handle(name))
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in place of any file that has it."""
-        self._forget(old)
-        self._forget(new)
+        """Rename a file, replacing any file that has the new name."""
+        self._close_handle(old)
+        self._close_handle(new)
         os.replace(self._folder / old, self._folder / new)
 
     def replace(self, name: str, new: str, data: bytes) -> None:
-        """Put a whole file in place of another, the new one synced first.
+        """Write a new file, sync it and rename it over an old one.
 
-        The name is not synced: after a loss of power either file is there.
-        It uses no handle of the others and may run on another thread.
+        The rename is not synced: after a loss of power either file may be
+        there. This uses no cached handle and may run on another thread.
         """
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
         handle = os.open(self._folder / new, flags, 0o600)
         try:
-            left = memoryview(data)
-            while left:
-                left = left[os.write(handle, left) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(handle, remaining) :]
             os.fsync(handle)
         finally:
             os.close(handle)
@@ -82,7 +82,7 @@
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._forget(name)
+        self._close_handle(name)
         (self._folder / name).unlink(missing_ok=True)
 
     def sync_folder(self) -> None:
@@ -94,9 +94,9 @@
             os.close(handle)
 
     def close(self) -> None:
-        """Close all files and release the lock."""
+        """Close all files and release the folder's lock."""
         for name in list(self._handles):
-            self._forget(name)
+            self._close_handle(name)
         os.close(self._lock)
 
     def _handle(self, name: str) -> int:
@@ -107,7 +107,7 @@
             self._handles[name] = handle
         return handle
 
-    def _forget(self, name: str) -> None:
+    def _close_handle(self, name: str) -> None:
         handle = self._handles.pop(name, None)
         if handle is not None:
             os.close(handle)
--- a/packages/daemon/nutmegchute_daemon/frames.py
+++ b/packages/daemon/nutmegchute_daemon/frames.py
@@ -1,4 +1,4 @@
-"""Put checksums around what is written to disk."""
+"""Frame data on disk with a length and a checksum."""
 
 import xxhash
 
@@ -7,14 +7,14 @@
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return the payload behind its length and checksum."""
+    """Return a frame: magic bytes, length, checksum and payload."""
     length = len(payload).to_bytes(4, "big")
     digest = xxhash.xxh64_digest(length + payload)
     return MAGIC + length + digest + payload
 
 
 def read_frame(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the frame at an offset; None if not whole."""
+    """Return the payload of the frame at an offset, None if not intact."""
     start = offset + HEADER_BYTES
     header = data[offset:start]
     if len(header) < HEADER_BYTES or not header.startswith(MAGIC):
@@ -29,7 +29,7 @@
 
 
 def has_frame_after(data: bytes, offset: int) -> bool:
-    """Tell whether a whole frame starts anywhere behind an offset."""
+    """Return whether an intact frame starts anywhere after an offset."""
     found = data.find(MAGIC, offset + 1)
     while found >= 0:
         if read_frame(data, found) is not None:
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -1,4 +1,4 @@
-"""Answer operators over HTTP."""
+"""Serve the operators' HTTP interface of a control replica."""
 
 import asyncio
 import time
@@ -35,14 +35,14 @@
 from .settings import Operator
 from .settings import Settings
 
-BODY_BYTES = 1048576
+MAX_BODY_BYTES = 1048576
 AUDIT_LIMIT = 1000
 ACTIONS = ("add", "replace", "remove")
 EVERY_BRANCH = "*"
 
 
 class ChangeRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Give the form of an operator's change."""
+    """Define the body of a request to change the configuration."""
 
     change_id: str
     bases: dict[str, int]
@@ -50,10 +50,11 @@
 
 
 class ReplicaRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Give the form of a change of the control replicas.
+    """Define the body of a request to change the control replicas.
 
-    The addresses, where given, must be those the replica itself names;
-    ``replaces`` names the replica that goes, by default its namesake.
+    The addresses, if given, must match those that the replica reports;
+    ``replaces`` names the replica to remove, by default the one of the same
+    name.
     """
 
     action: str
@@ -64,7 +65,7 @@
 
 
 class ReplicaAnswer(msgspec.Struct, frozen=True):
-    """Tell an operator what became of a change of the replicas."""
+    """Report the outcome of a change of the control replicas."""
 
     outcome: str
     detail: str
@@ -72,16 +73,16 @@
 
 
 class LiftRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Give the form of an order to forget a request that crashed."""
+    """Define the body of an order to lift a request's quarantine."""
 
     service: str
     fingerprint: str
 
 
 class EvacuationRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Give the form of an order about an availability zone.
+    """Define the body of an order about an availability zone.
 
-    ``evacuate`` is false where the zone is taken back.
+    ``evacuate`` is false to end the zone's evacuation.
     """
 
     availability_zone: str
@@ -89,67 +90,67 @@
 
 
 class EvacuationAnswer(msgspec.Struct, frozen=True):
-    """Tell an operator what became of it."""
+    """Report the outcome of an evacuation order."""
 
     outcome: str
     detail: str
 
 
 class LiftAnswer(msgspec.Struct, frozen=True):
-    """Tell an operator what became of it."""
+    """Report the outcome of an order to lift a quarantine."""
 
     outcome: str
     detail: str
 
 
-class Control(Protocol):
-    """Name what the pages ask of the control role."""
+class ControlRole(Protocol):
+    """Define what the pages need of the control role."""
 
     @property
     def settings(self) -> Settings:
-        """Give the settings in force."""
+        """Return the settings in force."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """Give the loop that all state belongs to."""
+        """Return the event loop that owns all state."""
 
     @property
     def agreement(self) -> Agreement:
-        """Give what this replica agrees on with the others."""
+        """Return the replica that takes part in consensus."""
 
     @property
     def quarantine(self) -> QuarantineServer:
-        """Give what takes reports of requests that crash endpoints."""
+        """Return the server of reports of requests that crash endpoints."""
 
     @property
     def evacuations(self) -> EvacuationServer:
-        """Give what takes orders to evacuate availability zones."""
+        """Return the server of orders to evacuate availability zones."""
 
     @property
     def machine(self) -> StateMachine:
-        """Give the replicated state as applied here."""
+        """Return the replicated state as applied by this replica."""
 
     def status(self) -> dict[str, Any]:
-        """Describe the replica."""
+        """Describe this replica and the entries that follow it."""
 
     def replicas(self) -> dict[str, Any]:
-        """Describe the group."""
+        """Describe the group's members and the replicas that wait to join."""
 
     def leader_address(self) -> str | None:
-        """Give the address where operators reach the leader."""
+        """Return the leader's address for operators, None if unknown."""
 
 
 class ControlPages:
-    """Answer operators; docs/control.rst gives the forms."""
+    """Answer operators' requests; docs/control.rst specifies them."""
 
-    def __init__(self, daemon: Control, runner: LoopRunner) -> None:
+    def __init__(self, daemon: ControlRole, runner: LoopRunner) -> None:
         self._daemon = daemon
         self._runner = runner
 
     @cherrypy.expose
     def changes(self) -> bytes:
-        """Take a change and tell what became of it."""
-        operator = self._operator()
+        """Propose a change of the configuration and return its outcome."""
+        operator = self._require_operator()
         request = _decode(ChangeRequest)
         self._check_branches(operator, request)
         change = Change(
@@ -158,9 +159,9 @@
             bases=request.bases,
             documents=request.documents,
             at_unix_s=time.time(),
-            # Here, since it takes milliseconds that the loop must not
-            # spend; a change that fails goes into the log all the same,
-            # for its answer and the audit trail.
+            # Checked on this thread: it takes milliseconds, too long for
+            # the event loop. An invalid change is proposed all the same,
+            # so that its answer and the audit trail record it.
             checked=passes_schema(request.documents),
         )
         answer = self._run(self._daemon.agreement.change(change), "/changes")
@@ -168,10 +169,10 @@
 
     @cherrypy.expose
     def replicas(self) -> bytes:
-        """Show the control replicas, or change them one at a time."""
+        """List the control replicas, or change one of them."""
         if cherrypy.request.method != "POST":
             return as_json(self._runner.run_sync(self._daemon.replicas))
-        operator = self._operator()
+        operator = self._require_operator()
         request = _decode(ReplicaRequest)
         if request.action not in ACTIONS:
             allowed = ", ".join(ACTIONS)
@@ -180,24 +181,26 @@
             raise cherrypy.HTTPError(
                 403, f"{operator.name} may not change the control replicas"
             )
-        wish = MembershipChange(**msgspec.structs.asdict(request))
+        membership_change = MembershipChange(**msgspec.structs.asdict(request))
         membership = self._run(
-            self._daemon.agreement.reconfigure(wish, operator.name),
+            self._daemon.agreement.reconfigure(
+                membership_change, operator.name
+            ),
             "/replicas",
         )
-        detail = f"{wish.describe()}: done"
+        detail = f"{membership_change.describe()}: done"
         if request.action != "remove":
             detail += "; it votes once it has caught up"
         return as_json(ReplicaAnswer(ACCEPTED, detail, membership.members))
 
     @cherrypy.expose
     def tree(self) -> bytes:
-        """Show the configuration tree as this replica has it."""
+        """Return the configuration tree as applied by this replica."""
         return as_json(self._runner.run_sync(self._tree))
 
     @cherrypy.expose
     def audit(self, since: str = "", limit: str = "") -> bytes:
-        """Show the audit trail, oldest first."""
+        """List audit records, oldest first."""
         try:
             after = int(since) if since else None
             most = int(limit) if limit else AUDIT_LIMIT
@@ -207,14 +210,14 @@
             ) from error
         if most < 1:
             raise cherrypy.HTTPError(400, "limit is at least 1")
-        return as_json(self._runner.run_sync(self._audit, after, most))
+        return as_json(self._runner.run_sync(self._audit_records, after, most))
 
     @cherrypy.expose
     def quarantine(self) -> bytes:
-        """Show the requests that may crash endpoints, or forget one."""
+        """List the cases of requests that crash endpoints, or delete one."""
         if cherrypy.request.method != "POST":
             return as_json(self._runner.run_sync(self._cases))
-        operator = self._operator()
+        operator = self._require_operator()
         request = _decode(LiftRequest)
         if not operator.may_change(EVERY_BRANCH):
             raise cherrypy.HTTPError(
@@ -229,10 +232,10 @@
 
     @cherrypy.expose
     def evacuations(self) -> bytes:
-        """Show the evacuated availability zones, or order about one."""
+        """List the evacuated availability zones, or change one."""
         if cherrypy.request.method != "POST":
             return as_json(self._runner.run_sync(self._evacuated))
-        operator = self._operator()
+        operator = self._require_operator()
         request = _decode(EvacuationRequest)
         zone = request.availability_zone
         try:
@@ -246,8 +249,8 @@
         order = EvacuationOrder(
             zone, request.evacuate, operator.name, time.time()
         )
-        submit = self._daemon.evacuations.submit(order)
-        changed = self._run(submit, "/evacuations")
+        submission = self._daemon.evacuations.submit(order)
+        changed = self._run(submission, "/evacuations")
         detail = order.describe() if changed else "nothing to change"
         return as_json(EvacuationAnswer(ACCEPTED, detail))
 
@@ -264,7 +267,9 @@
             "documents": tree.documents,
         }
 
-    def _audit(self, after: int | None, most: int) -> list[AuditRecord]:
+    def _audit_records(
+        self, after: int | None, most: int
+    ) -> list[AuditRecord]:
         records = self._daemon.machine.tree.audit
         if after is None:
             return records[-most:]
@@ -276,20 +281,20 @@
     def _evacuated(self) -> list[Evacuation]:
         return self._daemon.machine.evacuations.evacuations
 
-    def _operator(self) -> Operator:
+    def _require_operator(self) -> Operator:
         return require_operator(self._daemon.settings, self._runner)
 
     def _check_branches(
         self, operator: Operator, request: ChangeRequest
     ) -> None:
-        closed = [
+        forbidden = [
             team
             for team in sorted(request.documents)
             if not operator.may_change(team)
         ]
-        if not closed:
+        if not forbidden:
             return
-        detail = f"{operator.name} may not change {', '.join(closed)}"
+        detail = f"{operator.name} may not change {', '.join(forbidden)}"
         refusal = Refusal(
             change_id=request.change_id,
             operator=operator.name,
@@ -305,7 +310,7 @@
         try:
             return future.result()
         except NotLeaderError:
-            self._turn_away(path)
+            self._redirect_to_leader(path)
         except ReconfigurationError as error:
             raise cherrypy.HTTPError(409, str(error)) from error
         except TimeoutError as error:
@@ -313,7 +318,7 @@
                 504, "outcome not known; send the same change id again"
             ) from error
 
-    def _turn_away(self, path: str) -> NoReturn:
+    def _redirect_to_leader(self, path: str) -> NoReturn:
         address = self._runner.run_sync(self._daemon.leader_address)
         if address is not None:
             raise cherrypy.HTTPRedirect(f"http://{address}{path}", 307)
@@ -322,10 +327,10 @@
         raise cherrypy.HTTPError(503, reason)
 
 
-def _decode(form: type[Any]) -> Any:
+def _decode(body_type: type[Any]) -> Any:
     try:
         return msgspec.json.decode(
-            cherrypy.request.body.read(BODY_BYTES), type=form
+            cherrypy.request.body.read(MAX_BODY_BYTES), type=body_type
         )
     except msgspec.DecodeError as error:
         raise cherrypy.HTTPError(400, str(error)) from error
--- a/packages/daemon/nutmegchute_daemon/storages.py
+++ b/packages/daemon/nutmegchute_daemon/storages.py
@@ -1,4 +1,4 @@
-"""Keep a replica's log, snapshot and identity under one folder."""
+"""Store a replica's log, snapshot and identity in one folder."""
 
 from pathlib import Path
 from typing import Any
@@ -18,18 +18,18 @@
 from .frames import read_frame
 
 IDENTITY_FILE = "identity"
-NEW_FILE = "new"
-SEGMENT = "log-"
-SNAPSHOT = "snapshot-"
+TEMPORARY_FILE = "new"
+SEGMENT_PREFIX = "log-"
+SNAPSHOT_PREFIX = "snapshot-"
 
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Say which replica a folder belongs to and how its group began.
+    """Identify a folder's replica, its group and the group's first members.
 
-    ``group`` is None until a group was formed or joined. ``founding``
-    tells whether this folder was made at the deployment's first start.
+    ``group`` is None until a group was formed or joined. ``founding`` says
+    that the folder was created at the deployment's first start.
     """
 
     identity: str
@@ -38,197 +38,208 @@
     founding: bool = True
 
 
-class Saved(msgspec.Struct, frozen=True):
-    """Hold what one save made durable, all of it or nothing."""
+class SaveRecord(msgspec.Struct, frozen=True):
+    """Hold the content of one save, which is durable as a whole."""
 
     hard_state: HardState | None
     entries: list[LogEntry]
 
 
-_SAVED_DECODER = msgspec.msgpack.Decoder(Saved)
+_SAVE_DECODER = msgspec.msgpack.Decoder(SaveRecord)
 _SNAPSHOT_DECODER = msgspec.msgpack.Decoder(Snapshot)
 _IDENTITY_DECODER = msgspec.msgpack.Decoder(Identity)
 
 
 class Storage:
-    """Append frames to segments and sync them before returning.
+    """Append frames to log segments and sync them before returning.
 
-    A frame holds all of one save, so a save that a crash cut short is
-    gone as a whole. Entries are never overwritten in place: a later frame
-    replaces what earlier ones hold from its first index on.
+    A frame holds all of one save, so a save that a crash interrupted is
+    dropped as a whole. Entries are never overwritten in place: a frame
+    replaces the entries of earlier frames from its first index on.
     """
 
-    __slots__ = ("_disk", "_hard_state", "_segments", "_synced", "_tops")
+    __slots__ = (
+        "_disk",
+        "_hard_state",
+        "_last_indexes",
+        "_segments",
+        "_synced_bytes",
+    )
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self._hard_state = HardState()
         self._segments: list[str] = []
-        self._tops: dict[str, int] = {}
-        self._synced = 0
+        self._last_indexes: dict[str, int] = {}
+        self._synced_bytes = 0
 
     @property
     def disk(self) -> Disk:
-        """Give the folder, for what is not part of the log."""
+        """Return the folder, for files that are not part of the log."""
         return self._disk
 
     def identity(self) -> Identity | None:
-        """Return the folder's identity; None says the folder is empty.
+        """Return the folder's identity, None if the folder is empty.
 
-        :raises StorageError: the file is damaged, or is gone where a log
-            is left
+        :raises StorageError: the file is damaged, or missing beside a log
+            or snapshot
         """
         names = self._disk.names()
         if IDENTITY_FILE not in names:
             for name in names:
-                if name.startswith((SEGMENT, SNAPSHOT)):
+                if name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX)):
                     raise StorageError(
                         f"{self._disk.path}/{IDENTITY_FILE}: missing "
                         f"beside {name}"
                     )
             return None
-        found: Identity = self._read_one(IDENTITY_FILE, _IDENTITY_DECODER)
+        found: Identity = self._read_file(IDENTITY_FILE, _IDENTITY_DECODER)
         return found
 
     def save_identity(self, identity: Identity) -> None:
-        """Make the identity durable.
+        """Write and sync the identity.
 
-        :raises StorageError: it may not be used
+        :raises StorageError: it is not durable and must not be used
         """
         try:
-            self._write_one(IDENTITY_FILE, identity)
+            self._write_file(IDENTITY_FILE, identity)
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
 
     def load(self, genesis: Membership) -> StoredState:
-        """Read all that was synced; cut a torn last frame.
+        """Load all that was synced; truncate an incomplete last frame.
 
-        :raises StorageError: something before the last frame is damaged
+        :raises StorageError: data before the last frame is damaged
         """
         try:
             snapshot = self._load_snapshot(genesis)
             entries = self._load_segments()
-            self._roll()
+            self._start_segment()
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
         return StoredState(
             hard_state=self._hard_state,
             snapshot=snapshot,
-            entries=self._continue(snapshot, entries),
+            entries=self._entries_after(snapshot, entries),
         )
 
     def save(
         self, hard_state: HardState | None, entries: list[LogEntry]
     ) -> None:
-        """Make the hard state and the entries durable.
+        """Append and sync the hard state and the entries.
 
-        :raises StorageError: nothing may be acknowledged
+        :raises StorageError: they must not be acknowledged
         """
         try:
-            self._append(Saved(hard_state, entries))
+            self._append(SaveRecord(hard_state, entries))
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
         if hard_state is not None:
             self._hard_state = hard_state
 
     def install(self, snapshot: Snapshot) -> None:
-        """Keep a leader's snapshot in place of the whole log.
+        """Replace the whole log by a leader's snapshot.
 
-        :raises StorageError: nothing may be acknowledged
+        :raises StorageError: the snapshot must not be acknowledged
         """
         try:
-            self._keep_snapshot(snapshot)
-            self._roll()
-            self._drop(self._segments[:-1])
+            self._save_snapshot(snapshot)
+            self._start_segment()
+            self._remove_segments(self._segments[:-1])
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Keep an own snapshot and remove the segments before it.
+        """Save this replica's snapshot and remove the segments before it.
 
-        :raises StorageError: the replica must start anew from the disk
+        :raises StorageError: the replica must be reloaded from the disk
         """
         try:
-            self._keep_snapshot(snapshot)
-            self._roll()
+            self._save_snapshot(snapshot)
+            self._start_segment()
             old = []
             for segment in self._segments[:-1]:
-                if self._tops[segment] > snapshot.index:
+                if self._last_indexes[segment] > snapshot.index:
                     break
                 old.append(segment)
-            self._drop(old)
+            self._remove_segments(old)
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
 
     def recover(self) -> None:
-        """Cut what a failed save may have left behind.
+        """Truncate what a failed save may have left in the last segment.
 
-        After a failed sync the page cache can show bytes that are not on
-        the disk; loading them would bring back what was never durable.
+        After a failed sync the page cache may hold bytes that are not on
+        the disk; loading them would restore data that was never durable.
 
-        :raises StorageError: the disk still refuses
+        :raises StorageError: the disk still fails
         """
         if not self._segments:
             return
         try:
-            self._disk.truncate(self._segments[-1], self._synced)
+            self._disk.truncate(self._segments[-1], self._synced_bytes)
             self._disk.sync(self._segments[-1])
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
         self._segments = []
-        self._tops = {}
+        self._last_indexes = {}
 
     def close(self) -> None:
-        """Close the files and let another daemon have the folder."""
+        """Close the files and release the folder's lock."""
         self._disk.close()
 
-    def _append(self, saved: Saved) -> None:
+    def _append(self, record: SaveRecord) -> None:
         segment = self._segments[-1]
-        data = encode_frame(_ENCODER.encode(saved))
+        data = encode_frame(_ENCODER.encode(record))
         self._disk.append(segment, data)
         self._disk.sync(segment)
-        self._synced += len(data)
-        for entry in saved.entries:
-            self._tops[segment] = max(self._tops[segment], entry.index)
+        self._synced_bytes += len(data)
+        for entry in record.entries:
+            self._last_indexes[segment] = max(
+                self._last_indexes[segment], entry.index
+            )
 
-    def _roll(self) -> None:
+    def _start_segment(self) -> None:
         number = 0
         if self._segments:
-            number = int(self._segments[-1].removeprefix(SEGMENT)) + 1
-        segment = f"{SEGMENT}{number:012d}"
+            number = int(self._segments[-1].removeprefix(SEGMENT_PREFIX)) + 1
+        segment = f"{SEGMENT_PREFIX}{number:012d}"
         self._segments.append(segment)
-        self._tops[segment] = 0
-        self._synced = 0
-        # The hard state comes along: the segment that holds it otherwise
-        # may be removed.
-        self._append(Saved(self._hard_state, []))
+        self._last_indexes[segment] = 0
+        self._synced_bytes = 0
+        # Repeat the hard state: the segment that holds it may be removed.
+        self._append(SaveRecord(self._hard_state, []))
         self._disk.sync_folder()
 
-    def _drop(self, segments: list[str]) -> None:
-        # In order: were a later segment gone and an earlier one left, its
-        # replaced entries would come back.
+    def _remove_segments(self, segments: list[str]) -> None:
+        # Oldest first: if a later segment were removed and an earlier one
+        # left, entries that the later one replaced would reappear.
         for segment in segments:
             self._disk.remove(segment)
             self._segments.remove(segment)
         self._disk.sync_folder()
 
-    def _keep_snapshot(self, snapshot: Snapshot) -> None:
-        name = f"{SNAPSHOT}{snapshot.index:012d}"
-        self._write_one(name, snapshot)
+    def _save_snapshot(self, snapshot: Snapshot) -> None:
+        name = f"{SNAPSHOT_PREFIX}{snapshot.index:012d}"
+        self._write_file(name, snapshot)
         for other in self._disk.names():
-            if other.startswith(SNAPSHOT) and other < name:
+            if other.startswith(SNAPSHOT_PREFIX) and other < name:
                 self._disk.remove(other)
 
     def _load_snapshot(self, genesis: Membership) -> Snapshot:
-        names = [n for n in self._disk.names() if n.startswith(SNAPSHOT)]
+        names = [
+            n for n in self._disk.names() if n.startswith(SNAPSHOT_PREFIX)
+        ]
         if not names:
             return Snapshot(membership=genesis)
-        found: Snapshot = self._read_one(names[-1], _SNAPSHOT_DECODER)
+        found: Snapshot = self._read_file(names[-1], _SNAPSHOT_DECODER)
         return found
 
     def _load_segments(self) -> list[LogEntry]:
         self._segments = [
-            name for name in self._disk.names() if name.startswith(SEGMENT)
+            name
+            for name in self._disk.names()
+            if name.startswith(SEGMENT_PREFIX)
         ]
         self._hard_state = HardState()
         entries: list[LogEntry] = []
@@ -241,7 +252,7 @@
         self, segment: str, last: bool, entries: list[LogEntry]
     ) -> None:
         data = self._disk.read(segment)
-        self._tops[segment] = 0
+        self._last_indexes[segment] = 0
         offset = 0
         while offset < len(data):
             payload = read_frame(data, offset)
@@ -254,30 +265,32 @@
                 self._disk.truncate(segment, offset)
                 self._disk.sync(segment)
                 return
-            saved = _SAVED_DECODER.decode(payload)
-            if saved.hard_state is not None:
-                self._hard_state = saved.hard_state
-            self._take(segment, saved.entries, entries)
+            record = _SAVE_DECODER.decode(payload)
+            if record.hard_state is not None:
+                self._hard_state = record.hard_state
+            self._replace_tail(segment, record.entries, entries)
             offset += HEADER_BYTES + len(payload)
 
-    def _take(
+    def _replace_tail(
         self, segment: str, new: list[LogEntry], entries: list[LogEntry]
     ) -> None:
         if not new:
             return
-        self._tops[segment] = max(self._tops[segment], new[-1].index)
+        self._last_indexes[segment] = max(
+            self._last_indexes[segment], new[-1].index
+        )
         if entries:
             kept = new[0].index - entries[0].index
             del entries[max(0, kept) :]
         entries.extend(new)
 
-    def _continue(
+    def _entries_after(
         self, snapshot: Snapshot, entries: list[LogEntry]
     ) -> list[LogEntry]:
         later = [one for one in entries if one.index > snapshot.index]
         for entry in entries:
-            # A crash between an installed snapshot and the removal of the
-            # old log leaves entries that do not continue the snapshot.
+            # After a crash between installing a snapshot and removing the
+            # old log, the entries left do not continue the snapshot.
             if entry.index == snapshot.index and entry.term != snapshot.term:
                 return []
         expected = snapshot.index + 1
@@ -289,31 +302,31 @@
             expected += 1
         return later
 
-    def _write_one(self, name: str, value: Any) -> None:
-        self._disk.remove(NEW_FILE)
-        self._disk.append(NEW_FILE, encode_frame(_ENCODER.encode(value)))
-        self._disk.sync(NEW_FILE)
-        self._disk.rename(NEW_FILE, name)
+    def _write_file(self, name: str, value: Any) -> None:
+        self._disk.remove(TEMPORARY_FILE)
+        self._disk.append(TEMPORARY_FILE, encode_frame(_ENCODER.encode(value)))
+        self._disk.sync(TEMPORARY_FILE)
+        self._disk.rename(TEMPORARY_FILE, name)
         self._disk.sync_folder()
 
-    def _read_one(self, name: str, decoder: Any) -> Any:
+    def _read_file(self, name: str, decoder: Any) -> Any:
         try:
             data = self._disk.read(name)
         except OSError as error:
-            raise self._error(error) from error
+            raise self._storage_error(error) from error
         payload = read_frame(data, 0)
         if payload is None:
             raise StorageError(f"{self._disk.path}/{name}: damaged at byte 0")
         return decoder.decode(payload)
 
-    def _error(self, error: OSError) -> StorageError:
+    def _storage_error(self, error: OSError) -> StorageError:
         return StorageError(f"{self._disk.path}: {error.strerror}")
 
 
 def open_storage(folder: Path) -> Storage:
-    """Open a data folder that no other daemon uses.
+    """Open and lock a data folder.
 
-    :raises StorageError: it is in use or cannot be opened
+    :raises StorageError: another daemon uses it, or it cannot be opened
     """
     try:
         return Storage(Disk(folder))
