--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -1,4 +1,4 @@
-"""Take upstreams' announcements over HTTP."""
+"""Receive the announcements of upstreams over HTTP."""
 
 import hashlib
 import hmac
@@ -29,18 +29,18 @@
 ANNOUNCE_PATH = b"/announce"
 ANNOUNCEMENT_BYTES = 4096
 KEY_BYTES = 256
-REFRESH_SHARE = 3
+REFRESHES_PER_LEASE = 3
 
 _DECODER = msgspec.json.Decoder(Announcement)
 
 
-Take = Callable[[Announcement, str], dict[str, float]]
+RecordAnnouncement = Callable[[Announcement, str], dict[str, float]]
 
 
 class AnnouncementError(DaemonError):
-    """Say why an announcement was not taken, and its HTTP status.
+    """Report why an announcement is refused, with the HTTP status.
 
-    ``fields`` go into the answer next to the reason.
+    ``fields`` are added to the answer beside the reason.
     """
 
     __slots__ = ("_fields", "_retry_after_s", "_status")
@@ -59,22 +59,22 @@
 
     @property
     def status(self) -> int:
-        """Give the HTTP status."""
+        """The HTTP status."""
         return self._status
 
     @property
     def retry_after_s(self) -> float | None:
-        """Give when announcing again is of use, in seconds, if it is."""
+        """The delay before a retry, in seconds; None if a retry is useless."""
         return self._retry_after_s
 
     @property
     def fields(self) -> dict[str, Any]:
-        """Give what the upstream may act on."""
+        """Further fields of the answer, which the upstream may use."""
         return self._fields
 
 
 class Announcements:
-    """Check announcements against the services; lives on the loop."""
+    """Check announcements and record them; use on the event loop only."""
 
     __slots__ = ("_members", "_services")
 
@@ -83,15 +83,15 @@
         self._services: dict[str, Service] | None = None
 
     def configure(self, services: dict[str, Service]) -> None:
-        """Take the services that the configuration in force declares."""
+        """Apply the services that the configuration in force declares."""
         self._services = services
 
-    def take(
+    def record(
         self, announcement: Announcement, key: str, now: float
     ) -> dict[str, float]:
-        """Take an endpoint's word; return its lease.
+        """RecordAnnouncement an endpoint's announcement; return its lease.
 
-        :raises AnnouncementError: it was not taken
+        :raises AnnouncementError: it is refused
         """
         self._check_key(announcement, key)
         outcome = self._members.announce(announcement, now)
@@ -116,7 +116,7 @@
                 endpoint=announcement.endpoint,
                 state=announcement.state,
             )
-        return {"lease_s": LEASE_S, "refresh_s": LEASE_S / REFRESH_SHARE}
+        return {"lease_s": LEASE_S, "refresh_s": LEASE_S / REFRESHES_PER_LEASE}
 
     def _check_key(self, announcement: Announcement, key: str) -> None:
         if self._services is None:
@@ -145,15 +145,15 @@
 class AnnouncementHandler:
     """Answer announcements on the HTTP server's worker threads.
 
-    They stand beside CherryPy's dispatch: with hundreds of endpoints they
-    are most of what an entry at rest does.
+    CherryPy's dispatch is bypassed: with hundreds of endpoints,
+    announcements are most of the work of an entry without calls.
     """
 
-    __slots__ = ("_runner", "_take")
+    __slots__ = ("_record", "_runner")
 
-    def __init__(self, runner: LoopRunner, take: Take) -> None:
+    def __init__(self, runner: LoopRunner, record: RecordAnnouncement) -> None:
         self._runner = runner
-        self._take = take
+        self._record = record
 
     def __call__(self, http: StrictRequest) -> None:
         """Answer one announcement."""
@@ -177,10 +177,10 @@
             raise AnnouncementError(404, "no such page")
         if http.method != b"POST":
             raise AnnouncementError(405, "announcements are posted")
-        announcement = read_announcement(_read_body(http))
+        announcement = parse_announcement(_read_body(http))
         name = SERVICE_KEY_HEADER.encode()
         key = http.inheaders.get(name, b"")[:KEY_BYTES].decode("latin-1")
-        return dict(self._runner.run_sync(self._take, announcement, key))
+        return dict(self._runner.run_sync(self._record, announcement, key))
 
 
 def _read_body(http: StrictRequest) -> bytes:
@@ -194,10 +194,10 @@
     return b"".join(pieces)
 
 
-def read_announcement(body: bytes) -> Announcement:
-    """Read an announcement.
+def parse_announcement(body: bytes) -> Announcement:
+    """Parse an announcement.
 
-    :raises AnnouncementError: it is malformed; the reason names the place
+    :raises AnnouncementError: it is malformed; the reason names the field
     """
     if len(body) > ANNOUNCEMENT_BYTES:
         raise AnnouncementError(
@@ -212,10 +212,10 @@
         address = ipaddress.IPv4Address(host)
     except ValueError as error:
         raise AnnouncementError(400, f"endpoint: {error}") from error
-    if not 0 < int(port) < 65536 or not _reachable(address):
+    if not 0 < int(port) < 65536 or not _is_host_address(address):
         raise AnnouncementError(400, "endpoint: no such address and port")
     return announcement
 
 
-def _reachable(address: ipaddress.IPv4Address) -> bool:
+def _is_host_address(address: ipaddress.IPv4Address) -> bool:
     return not (address.is_multicast or address.is_unspecified)
--- a/packages/daemon/nutmegchute_daemon/drains.py
+++ b/packages/daemon/nutmegchute_daemon/drains.py
@@ -1,4 +1,4 @@
-"""Let operators take an entry out of service without a login on its vm."""
+"""Let operators drain an entry without a login on its vm."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class DrainPage:
-    """Begin the same stop that SIGTERM begins."""
+    """Start the same graceful stop as SIGTERM."""
 
     exposed = True
 
@@ -28,11 +28,11 @@
         self._stop = stop
 
     def __call__(self) -> bytes:
-        """Drain this entry; asking again changes nothing."""
+        """Drain this entry; a repeated request changes nothing."""
         require_post()
         operator = require_operator(self._settings, self._runner)
-        # An entry carries every team's calls: a key for one branch must
-        # not take the others' capacity away.
+        # An entry serves the calls of all teams: a key for one branch must
+        # not reduce the capacity of the others.
         if not operator.may_change(ALL_BRANCHES):
             raise cherrypy.HTTPError(
                 403, f"{operator.name} may not drain: needs branch '*'"
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -256,7 +256,7 @@
         :raises AnnouncementError: it is refused
         """
         now = boot_time()
-        lease = self._announcements.take(announcement, key, now)
+        lease = self._announcements.record(announcement, key, now)
         self._gossiper.refresh()
         return lease
 
--- a/packages/daemon/nutmegchute_daemon/pages.py
+++ b/packages/daemon/nutmegchute_daemon/pages.py
@@ -1,4 +1,4 @@
-"""Answer callers' and upstreams' questions over HTTP."""
+"""Serve the list of entries and the status of an entry over HTTP."""
 
 from typing import Any
 from typing import Protocol
@@ -11,23 +11,23 @@
 from .servers import LoopRunner
 
 
-class Answerer(Protocol):
-    """Describe what the entry's loop answers to pages."""
+class PageSource(Protocol):
+    """Provide the contents of the pages; called on the event loop."""
 
     def usable_entries(self, zone: str | None) -> list[EntryInfo]:
         """Choose the entries that a caller should use."""
 
     def status(self) -> dict[str, Any]:
-        """Describe this entry to an operator."""
+        """Return the state of this entry for operators."""
 
 
 class EntryPages:
-    """Answer callers' and upstreams' questions over HTTP."""
+    """Serve the list of entries and the status of an entry over HTTP."""
 
     drain: DrainPage
 
     def __init__(
-        self, daemon: Answerer, runner: LoopRunner, keep_s: float
+        self, daemon: PageSource, runner: LoopRunner, keep_s: float
     ) -> None:
         self._daemon = daemon
         self._runner = runner
@@ -35,13 +35,13 @@
 
     @cherrypy.expose
     def entries(self, availability_zone: str | None = None) -> bytes:
-        """Name the entries to use and how long to keep the answer."""
-        words = self._runner.run_sync(
+        """Return the entries to use and how long to cache them."""
+        usable = self._runner.run_sync(
             self._daemon.usable_entries, availability_zone
         )
-        return as_json({"entries": words, "keep_s": self._keep_s})
+        return as_json({"entries": usable, "keep_s": self._keep_s})
 
     @cherrypy.expose
     def status(self) -> bytes:
-        """Describe this entry."""
+        """Return the state of this entry."""
         return as_json(self._runner.run_sync(self._daemon.status))
--- a/packages/daemon/nutmegchute_daemon/refusals.py
+++ b/packages/daemon/nutmegchute_daemon/refusals.py
@@ -1,32 +1,32 @@
-"""Log announcements that were refused, a line a while."""
+"""Log refused announcements at a limited rate."""
 
 from .events import Event
 from .events import log
 
-# A writer that goes wrong may send many announcements a second; one line in
-# so many seconds tells of all.
-REFUSALS_TOLD_S = 10.0
+# A faulty sender may send many announcements a second; one line per interval
+# reports all that were refused.
+LOG_INTERVAL_S = 10.0
 
 
 class Refusals:
-    """Count refused announcements and log them in one line a while."""
+    """Count refused announcements and log the count once per interval."""
 
-    __slots__ = ("_count", "_reason", "_told_at")
+    __slots__ = ("_count", "_logged_at", "_reason")
 
     def __init__(self) -> None:
         self._count = 0
         self._reason = ""
-        self._told_at = -REFUSALS_TOLD_S
+        self._logged_at = -LOG_INTERVAL_S
 
     def record(self, reason: str, now: float) -> None:
-        """Count one; the first after a while is logged at once."""
+        """Count one; log it at once if the interval has passed."""
         self._count += 1
         self._reason = reason
         self.report(now)
 
     def report(self, now: float) -> None:
-        """Log what was counted, if it is time."""
-        if not self._count or now - self._told_at < REFUSALS_TOLD_S:
+        """Log the count if it is not zero and the interval has passed."""
+        if not self._count or now - self._logged_at < LOG_INTERVAL_S:
             return
         log(
             Event.WORDS_REFUSED,
@@ -34,5 +34,5 @@
             words=self._count,
             reason=self._reason,
         )
-        self._told_at = now
+        self._logged_at = now
         self._count = 0
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Refuse announcements that are wrong, each with a clear error."""
+"""Check which announcements are accepted and why others are refused."""
 
 import hashlib
 from typing import Any
@@ -10,7 +10,7 @@
 from nutmegchute_daemon.announcements import ANNOUNCEMENT_BYTES
 from nutmegchute_daemon.announcements import AnnouncementError
 from nutmegchute_daemon.announcements import Announcements
-from nutmegchute_daemon.announcements import read_announcement
+from nutmegchute_daemon.announcements import parse_announcement
 from support import announcement
 from support import rule
 
@@ -42,42 +42,45 @@
         ("nowhere", KEY, 404),
     ],
 )
-def test_strangers_are_refused(
+def test_unauthorized_announcement_is_refused(
     announcements: Announcements, service: str, key: str, status: int
 ) -> None:
-    """Let nobody without the service's key take its calls.
+    """Refuse announcements without the service's key.
 
-    A stranger announces an address of its own; loans would be sent there.
+    Otherwise anyone could announce an address of their own and receive the
+    service's calls.
     """
-    word = announcement(A, service=service)
+    announced = announcement(A, service=service)
     with pytest.raises(AnnouncementError) as raised:
-        announcements.take(word, key, 0.0)
+        announcements.record(announced, key, 0.0)
     assert raised.value.status == status
     assert service in str(raised.value)
     assert announcements._members.live(0.0) == []
 
 
-def test_the_key_opens_the_service(announcements: Announcements) -> None:
-    """Take the right key, and none where none is asked for."""
-    lease = announcements.take(announcement(A), KEY, 0.0)
+def test_key_of_the_service_is_accepted(announcements: Announcements) -> None:
+    """Accept the right key, and no key where none is required."""
+    lease = announcements.record(announcement(A), KEY, 0.0)
     assert lease["refresh_s"] < lease["lease_s"]
-    announcements.take(announcement(A, service="prestamos"), "", 0.0)
+    announcements.record(announcement(A, service="prestamos"), "", 0.0)
     assert len(announcements._members.live(0.0)) == 2
 
 
-def test_an_older_run_is_told_the_floor(announcements: Announcements) -> None:
-    """Name the incarnation that would be taken."""
-    announcements.take(announcement(A, incarnation=9), KEY, 0.0)
+def test_older_incarnation_is_refused_with_the_floor(
+    announcements: Announcements,
+) -> None:
+    """Return the lowest incarnation that would be accepted."""
+    announcements.record(announcement(A, incarnation=9), KEY, 0.0)
     with pytest.raises(AnnouncementError) as raised:
-        announcements.take(announcement(A, incarnation=3), KEY, 0.1)
+        announcements.record(announcement(A, incarnation=3), KEY, 0.1)
     assert raised.value.status == 409
     assert raised.value.fields == {"incarnation": 9}
 
 
-def test_without_a_configuration_try_again() -> None:
-    """Ask for another try while no service is known yet."""
+def test_announcement_before_the_configuration_is_to_be_retried() -> None:
+    """Send a retry delay while no configuration is in force."""
     with pytest.raises(AnnouncementError) as raised:
-        Announcements(Roster(1)).take(announcement(A), KEY, 0.0)
+        Announcements(Roster(1)).record(announcement(A), KEY, 0.0)
     assert raised.value.status == 503
     assert raised.value.retry_after_s
 
@@ -102,11 +105,11 @@
         {"service": None},
     ],
 )
-def test_malformed_is_refused(values: dict[str, Any]) -> None:
-    """Name what is wrong with a field."""
+def test_invalid_field_is_refused(values: dict[str, Any]) -> None:
+    """Refuse an invalid field with a reason."""
     document = {**msgspec.to_builtins(announcement(A)), **values}
     with pytest.raises(AnnouncementError) as raised:
-        read_announcement(msgspec.json.encode(document))
+        parse_announcement(msgspec.json.encode(document))
     assert raised.value.status == 400
     assert str(raised.value)
 
@@ -122,8 +125,8 @@
         (b" " * (ANNOUNCEMENT_BYTES + 1), 413),
     ],
 )
-def test_not_an_announcement(body: bytes, status: int) -> None:
-    """Refuse what is no announcement at all."""
+def test_malformed_body_is_refused(body: bytes, status: int) -> None:
+    """Refuse a body that is no announcement."""
     with pytest.raises(AnnouncementError) as raised:
-        read_announcement(body)
+        parse_announcement(body)
     assert raised.value.status == status
