--- a/packages/daemon/nutmegchute_daemon/__main__.py
+++ b/packages/daemon/nutmegchute_daemon/__main__.py
@@ -112,7 +112,7 @@
         for warning in settings.warnings():
             log(Event.SETTING_DOUBTFUL, "warning", detail=warning)
         daemon = roles[settings.role](settings)
-        daemon.every(LOST_S, lambda: _report_lost(sink))
+        daemon.run_every(LOST_S, lambda: _report_lost(sink))
         await daemon.run()
     finally:
         sink.close()
--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/agreements.py
@@ -374,9 +374,9 @@
             return
         self._leading_term = term
         if term is None:
-            log(Event.FOLLOWED)
+            log(Event.LEADERSHIP_ENDED)
         else:
-            log(Event.LED, term=term)
+            log(Event.LEADERSHIP_GAINED, term=term)
 
     def _send(self, messages: list[Message]) -> None:
         if not messages:
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -100,14 +100,14 @@
         """Return the runner of handlers' functions on the loop."""
         return self._runner
 
-    def begin(self) -> None:
+    def start_tasks(self) -> None:
         """Start the replica, the exchange with peers and periodic work."""
         start_pages()
         self.spawn(self._agreement.start())
-        self.every(MAINTAIN_PERIOD_S, self._agreement.maintain)
+        self.run_every(MAINTAIN_PERIOD_S, self._agreement.maintain)
         self._peers.start()
-        self.every(EXPIRE_S, self._expire)
-        self.every(SAVE_PERIOD_S, self._endpoint_file.save)
+        self.run_every(EXPIRE_S, self._expire)
+        self.run_every(SAVE_PERIOD_S, self._endpoint_file.save)
 
     def reload(self, settings: Settings) -> None:
         """Apply changed settings, such as the listed replicas."""
--- a/packages/daemon/nutmegchute_daemon/daemons.py
+++ b/packages/daemon/nutmegchute_daemon/daemons.py
@@ -65,11 +65,11 @@
             await self._links.stop(0)
             raise
         self._http.limit_body(self._settings.request_body_bytes)
-        self.every(HTTP_SWEEP_S, self._http.sweep)
-        self.every(FLUSH_S, self._metrics.flush)
-        self.begin()
+        self.run_every(HTTP_SWEEP_S, self._http.sweep)
+        self.run_every(FLUSH_S, self._metrics.flush)
+        self.start_tasks()
         reporter = Reporter(self._metrics, self.gauges, self._loop.time)
-        self.every(REPORT_S, reporter.report)
+        self.run_every(REPORT_S, reporter.report)
         log(Event.STARTED, role=self._settings.role)
         await self._stopping.wait()
         log(Event.STOPPING)
@@ -89,7 +89,7 @@
         """Begin to stop, as a signal does; safe to repeat."""
         self._stopping.set()
 
-    def cut(self) -> int:
+    def abort(self) -> int:
         """End what is in flight; return how much that was."""
         return 0
 
@@ -101,7 +101,7 @@
         """Build the role's state and mount what it serves."""
         raise NotImplementedError
 
-    def begin(self) -> None:
+    def start_tasks(self) -> None:
         """Start the role's periodic work."""
         raise NotImplementedError
 
@@ -125,7 +125,7 @@
         self._listeners[place] = server
         return server
 
-    def every(self, period_s: float, work: Work) -> None:
+    def run_every(self, period_s: float, work: Work) -> None:
         """Do some work again and again, by a function or a coroutine."""
         self.spawn(repeat(period_s, work))
 
@@ -147,10 +147,10 @@
         settings = read_settings(self._settings.path)
         if isinstance(settings, Failure):
             # What is in force was checked; a broken file changes nothing.
-            log(Event.RELOADED, "error", detail=str(settings.failure()))
+            log(Event.SETTINGS_RELOAD, "error", detail=str(settings.failure()))
             return
         self.reload(settings.unwrap())
-        log(Event.RELOADED)
+        log(Event.SETTINGS_RELOAD)
 
     async def _finish_in_time(self) -> None:
         finishing = asyncio.ensure_future(self.finish())
@@ -165,7 +165,7 @@
             await finishing
             return
         finishing.cancel()
-        log(Event.WORK_CUT, "warning", calls=self.cut())
+        log(Event.WORK_ABORTED, "warning", calls=self.abort())
         # Time for the last answers to be written.
         await asyncio.sleep(CUT_S)
 
--- a/packages/daemon/nutmegchute_daemon/drains.py
+++ b/packages/daemon/nutmegchute_daemon/drains.py
@@ -41,5 +41,5 @@
         return as_json({"draining": True})
 
     def _begin(self, operator: str) -> None:
-        log(Event.DRAIN_ASKED, operator=operator)
+        log(Event.DRAIN_REQUESTED, operator=operator)
         self._stop()
--- a/packages/daemon/nutmegchute_daemon/endpoint_files.py
+++ b/packages/daemon/nutmegchute_daemon/endpoint_files.py
@@ -54,11 +54,11 @@
         except FileNotFoundError:
             return
         except (OSError, msgspec.DecodeError) as error:
-            log(Event.RECALL_FAILED, "warning", detail=str(error))
+            log(Event.ENDPOINT_FILE_FAILED, "warning", detail=str(error))
             return
         self._registrar.restore_endpoints(found)
         self._generation = self._registrar.generation
-        log(Event.RECALLED, endpoints=len(found))
+        log(Event.ENDPOINTS_RESTORED, endpoints=len(found))
 
     def save(self) -> None:
         """Start a write if endpoints have changed and none is running."""
@@ -77,7 +77,7 @@
             )
         except OSError as error:
             if not self._failed:
-                log(Event.RECALL_FAILED, "warning", detail=str(error))
+                log(Event.ENDPOINT_FILE_FAILED, "warning", detail=str(error))
             self._failed = True
             return
         self._failed = False
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -125,14 +125,14 @@
         announce = AnnouncementHandler(self._runner, self.announce)
         self._http.add_handler(ANNOUNCE_PATH, announce)
 
-    def begin(self) -> None:
+    def start_tasks(self) -> None:
         """Start the periodic work: sweeps, gossip, configuration."""
         start_pages()
-        self.every(SWEEP_S, self._sweep)
-        self.every(GOSSIP_TICK_S, self._gossiper.tick)
-        self.every(0, self._follower.follow)
-        self.every(0, self._claimer.run)
-        self.every(0, self._reporter.run)
+        self.run_every(SWEEP_S, self._sweep)
+        self.run_every(GOSSIP_TICK_S, self._gossiper.tick)
+        self.run_every(0, self._follower.follow)
+        self.run_every(0, self._claimer.run)
+        self.run_every(0, self._reporter.run)
 
     def gauges(self) -> dict[str, float]:
         """Return the gauges that show whether this entry can serve."""
@@ -164,7 +164,7 @@
         await self._settle_all()
         await self._follower.leave()
 
-    def cut(self) -> int:
+    def abort(self) -> int:
         """End the calls in flight; return how many there were."""
         self._handler.refusal = "entry is stopping"
         self._http.disable_keep_alive()
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -215,7 +215,7 @@
         self._reported_lapsed = lapsed
         if lapsed:
             log(
-                Event.LEASE_LAPSED,
+                Event.LEASE_EXPIRED,
                 "warning",
                 lease_s=TREE_LEASE_S,
                 acting=self.may_act(),
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -97,7 +97,7 @@
                 # If this ended the task, the endpoints registered at that
                 # replica would no longer reach the entries that watch here.
                 log(
-                    Event.WORD_FAILED,
+                    Event.REPLY_FAILED,
                     "error",
                     address=address,
                     trace=format_exc(),
--- a/packages/daemon/nutmegchute_daemon/refusals.py
+++ b/packages/daemon/nutmegchute_daemon/refusals.py
@@ -29,7 +29,7 @@
         if not self._count or now - self._logged_at < LOG_INTERVAL_S:
             return
         log(
-            Event.WORDS_REFUSED,
+            Event.ANNOUNCEMENTS_REFUSED,
             "warning",
             words=self._count,
             reason=self._reason,
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -200,7 +200,7 @@
             raise self._refuse(refusal)
         if outcome != STALE and self._discovery.registry.generation != before:
             log(
-                Event.INSTANCE_HEARD,
+                Event.INSTANCE_ANNOUNCED,
                 instance=announcement.instance,
                 incarnation=announcement.incarnation,
                 service=announcement.service,
@@ -227,7 +227,7 @@
             raise self._refuse(REFUSALS[OUTDATED])
         if self._discovery.registry.end(process, boot_time()):
             log(
-                Event.INSTANCE_ENDED,
+                Event.INSTANCE_STOPPED,
                 instance=instance,
                 incarnation=process[1],
             )
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -150,12 +150,12 @@
         self._limit_inquiries()
         self._limit_warm_ups()
 
-    def begin(self) -> None:
+    def start_tasks(self) -> None:
         """Start the watcher and the periodic work."""
         self._watcher.start()
-        self.every(SWEEP_S, self._sweep)
-        self.every(EXPIRE_S, self._expire)
-        self.every(0, self._reporter.run)
+        self.run_every(SWEEP_S, self._sweep)
+        self.run_every(EXPIRE_S, self._expire)
+        self.run_every(0, self._reporter.run)
 
     def gauges(self) -> dict[str, float]:
         """Return the gauges that show whether this entry can serve."""
@@ -192,7 +192,7 @@
         while self._handler.active:
             await asyncio.sleep(DRAIN_TICK_S)
 
-    def cut(self) -> int:
+    def abort(self) -> int:
         """End the calls in flight; return how many there were."""
         self._handler.refusal = "entry is stopping"
         self._dispatcher.end_all()
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -142,7 +142,7 @@
             # If this ended the task, the entry would never again update its
             # configuration and endpoints, and would serve by stale ones.
             log(
-                Event.WORD_FAILED,
+                Event.REPLY_FAILED,
                 "error",
                 address=address,
                 trace=format_exc(),
