--- a/packages/daemon/nutmegchute_daemon/links.py
+++ b/packages/daemon/nutmegchute_daemon/links.py
@@ -1,7 +1,7 @@
-"""Carry core messages between daemons by gRPC.
+"""Exchange core messages between daemons by gRPC.
 
-Messages travel as msgpack, as the types of core give it; gRPC carries the
-bytes as they are.
+Messages are encoded as msgpack by their core types; gRPC transfers the bytes
+unchanged.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 import msgspec
 
 UNARY_TIMEOUT_S = 1.0
-# Proxies from the environment must not stand between our own daemons, and
-# a peer that restarts must be found again in well under an election time.
-# A connection cut without a word is given up by the keepalive: TCP alone
-# would go on repeating for minutes after the network is whole again.
+# Proxies from the environment must not apply between the daemons, and a peer
+# that restarts must be reconnected in well under an election timeout.
+# Keepalive closes a connection that a partition broke silently: TCP alone
+# would retransmit for minutes after the network has recovered.
 CHANNEL_OPTIONS = [
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
@@ -25,10 +25,10 @@
     ("grpc.keepalive_time_ms", 4000),
     ("grpc.keepalive_timeout_ms", 2000),
     ("grpc.http2.max_pings_without_data", 0),
-    # Channels opened anew must not be given the silent connection of the
-    # one that was dropped for its silence.
+    # A new channel must not reuse the broken connection of the channel that
+    # was dropped because of it.
     ("grpc.use_local_subchannel_pool", 1),
-    # The probes for the bandwidth would be most of what gossip sends.
+    # Bandwidth probes would be most of the traffic of gossip.
     ("grpc.http2.bdp_probe", 0),
 ]
 SERVER_OPTIONS = [
@@ -42,7 +42,7 @@
 
 
 class Method:
-    """Name a method and the types that travel over it."""
+    """Describe a gRPC method by its name, request type and reply type."""
 
     __slots__ = ("_decode_reply", "_decode_request", "_name", "_service")
 
@@ -56,37 +56,37 @@
 
     @property
     def path(self) -> str:
-        """Give the method's full name on the wire."""
+        """The full name of the method on the wire."""
         return f"/nutmegchute.{self._service}/{self._name}"
 
     @property
     def service(self) -> str:
-        """Name the gRPC service."""
+        """The name of the gRPC service."""
         return self._service
 
     @property
     def name(self) -> str:
-        """Name the method within its service."""
+        """The name of the method within its service."""
         return self._name
 
     def decode_request(self, data: bytes) -> Any:
-        """Read a request; msgspec refuses one of another form."""
+        """Decode a request; raise msgspec.DecodeError if it is invalid."""
         return self._decode_request(data)
 
     def decode_reply(self, data: bytes) -> Any:
-        """Read a reply; msgspec refuses one of another form."""
+        """Decode a reply; raise msgspec.DecodeError if it is invalid."""
         return self._decode_reply(data)
 
 
 class Links:
-    """Hold the channels of this daemon and serve its methods."""
+    """Serve gRPC methods and hold the channels to other daemons."""
 
     __slots__ = ("_calls", "_channels", "_closing", "_server", "_started")
 
     def __init__(self) -> None:
         self._channels: dict[str, Any] = {}
         self._calls: dict[tuple[str, str], Any] = {}
-        # The loop itself holds tasks weakly only.
+        # The event loop itself holds only weak references to tasks.
         self._closing: set[asyncio.Task[None]] = set()
         self._started = False
         self._server = grpc.aio.server(
@@ -94,7 +94,7 @@
         )
 
     def serve(self, method: Method, handler: Handler) -> None:
-        """Answer a method by a coroutine on the loop."""
+        """Register a coroutine function as the handler of a method."""
 
         async def answer(data: bytes, context: Any) -> bytes:
             try:
@@ -113,7 +113,7 @@
         self._server.add_generic_rpc_handlers((generic,))
 
     async def start(self, address: str) -> None:
-        """Listen; RuntimeError says the address is in use."""
+        """Listen on an address; raise RuntimeError if it is in use."""
         self._server.add_insecure_port(address)
         await self._server.start()
         self._started = True
@@ -125,29 +125,29 @@
         request: Any,
         timeout_s: float = UNARY_TIMEOUT_S,
     ) -> Any | None:
-        """Ask another daemon; None says that no answer came in time."""
+        """Send a request; return the reply, or None if none came in time."""
         call = self._calls.get((address, method.path))
         if call is None:
-            call = self._open(address, method)
+            call = self._create_call(address, method)
         data = _ENCODER.encode(request)
         try:
             reply = await call(data, timeout=timeout_s)
             return method.decode_reply(reply)
         except (grpc.aio.AioRpcError, msgspec.DecodeError):
-            # A reply of another form, from another version, is no answer
-            # either; raised, it would end the caller's loop for good.
+            # An invalid reply, as from another version, counts as none: the
+            # error would end the loop of the calling coroutine for good.
             return None
         except asyncio.CancelledError:
             if _is_cancelled():
                 raise
-            # The channel was dropped by another exchange with that daemon.
-            # Raised, it would end a loop that asks again and again: after a
-            # cut two replicas never told one another anything any more, and
-            # neither could acknowledge an endpoint's leaving.
+            # Another exchange with that daemon dropped the channel. Raised,
+            # this would end the loop that sends requests: after a partition
+            # two replicas would never again exchange their registries, and
+            # neither could acknowledge an endpoint's drain.
             return None
 
     async def open(self, address: str, timeout_s: float) -> bool:
-        """Connect to a daemon; tell whether it took the connection."""
+        """Connect to a daemon; return whether it accepted in time."""
         channel = self._channel(address)
         try:
             await asyncio.wait_for(channel.channel_ready(), timeout_s)
@@ -156,15 +156,15 @@
         except asyncio.CancelledError:
             if _is_cancelled():
                 raise
-            # Dropped meanwhile, as above.
+            # Another exchange dropped the channel, as in send_request().
             return False
         return True
 
     def drop(self, address: str) -> None:
-        """Close the connection to a daemon that does not answer.
+        """Close the connection to a daemon that does not reply.
 
-        A partition that has healed leaves connections on which TCP tries
-        again only after seconds; a new one is through at once.
+        After a partition has healed, TCP retransmits on old connections only
+        after seconds; a new connection works at once.
         """
         channel = self._channels.pop(address, None)
         if channel is None:
@@ -175,7 +175,7 @@
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
-    def _open(self, address: str, method: Method) -> Any:
+    def _create_call(self, address: str, method: Method) -> Any:
         call = self._channel(address).unary_unary(method.path)
         self._calls[address, method.path] = call
         return call
@@ -192,8 +192,8 @@
     async def stop(self, grace_s: float) -> None:
         """Stop serving and close every channel."""
         if not self._started:
-            # gRPC stops only what was started; a server left as it is
-            # prints an error of its own when the interpreter ends.
+            # gRPC can stop only a started server; one that is not stopped
+            # prints an error when the interpreter exits.
             await self._server.start()
         await self._server.stop(grace_s)
         for channel in self._channels.values():
@@ -201,6 +201,6 @@
 
 
 def _is_cancelled() -> bool:
-    """Tell whether the present task itself was cancelled."""
+    """Return whether the current task itself was cancelled."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
--- a/packages/daemon/nutmegchute_daemon/methods.py
+++ b/packages/daemon/nutmegchute_daemon/methods.py
@@ -1,7 +1,7 @@
-"""Name the gRPC methods that several roles speak.
+"""Define the gRPC methods that several roles use.
 
-Methods of control alone stand with what serves them: their messages bring
-the whole of the control state with them.
+Methods between control replicas only are defined where they are served:
+importing their messages would import the whole control state.
 """
 
 from nutmegchute_core.follow_protocol import FollowReply
--- a/packages/daemon/nutmegchute_daemon/notifiers.py
+++ b/packages/daemon/nutmegchute_daemon/notifiers.py
@@ -1,10 +1,10 @@
-"""Wake coroutines on the loop when something has changed."""
+"""Wake coroutines on the event loop after a change."""
 
 import asyncio
 
 
 class Notifier:
-    """Wake all that wait when something has changed."""
+    """Wake all waiting coroutines at each change."""
 
     __slots__ = ("_waiting",)
 
@@ -12,14 +12,14 @@
         self._waiting: set[asyncio.Future[None]] = set()
 
     def notify(self) -> None:
-        """Wake everybody."""
+        """Wake all waiting coroutines."""
         waiting, self._waiting = self._waiting, set()
         for future in waiting:
             if not future.done():
                 future.set_result(None)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait for a change, at most so long."""
+        """Wait for a change or the timeout."""
         future = asyncio.get_running_loop().create_future()
         self._waiting.add(future)
         try:
@@ -29,7 +29,7 @@
 
 
 class BatchNotifier:
-    """Gather changes for a moment, then wake all that wait for one."""
+    """Collect changes, then wake all waiting coroutines at once."""
 
     __slots__ = ("_notifier", "_timer", "_notified_at")
 
@@ -40,11 +40,11 @@
 
     @property
     def pending(self) -> bool:
-        """Tell whether all will be woken in a moment."""
+        """Whether a wake-up is scheduled."""
         return self._timer is not None
 
     def notify(self, gap_s: float) -> None:
-        """Wake them, no sooner than so long after the last time."""
+        """Schedule a wake-up, at the earliest ``gap_s`` after the last one."""
         loop = asyncio.get_running_loop()
         due_at = max(loop.time(), self._notified_at + gap_s)
         if self._timer is not None:
@@ -54,7 +54,7 @@
         self._timer = loop.call_at(due_at, self._fire)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait for a change, at most so long."""
+        """Wait for a change or the timeout."""
         await self._notifier.wait(timeout_s)
 
     def _fire(self) -> None:
