--- a/packages/daemon/nutmegchute_daemon/answers.py
+++ b/packages/daemon/nutmegchute_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Read what an endpoint's answer says of the call and of itself."""
+"""Read an endpoint's reports on the call and on itself from its answer."""
 
 from urllib3 import HTTPHeaderDict
 from urllib3.response import HTTPResponse
@@ -10,13 +10,13 @@
 from .protocols import OUTCOME_HEADER
 from .protocols import RAN_STATUS_HEADER
 
-# An endpoint that sheds says so with one of these. "Not run" beside an
-# answer of another kind cannot be true.
+# The statuses of an endpoint that sheds. "Not run" with any other status
+# cannot be true.
 SHED_STATUSES = frozenset({429, 503})
 
-# Only the entry says these to a caller; an upstream that says them would
-# be believed about something it does not know.
-OWN_HEADERS = frozenset(
+# Headers that only the entry may send to a caller. Forwarded from an
+# upstream, they would claim what the upstream cannot know.
+ENTRY_HEADERS = frozenset(
     name.lower()
     for name in (
         ENTRY_HEADER,
@@ -28,48 +28,49 @@
 
 
 class BrokenAnswerError(DaemonError):
-    """Say that an answer ended before its end."""
+    """Report an answer that broke off or cannot be trusted."""
 
 
 class AnswerFormat:
-    """Read what an endpoint's answer says of the call and of itself.
+    """Read an endpoint's reports on the call and on itself from its answer.
 
-    This is the product's own form; another set of headers is another
-    class with the same methods.
+    This class reads the product's own headers; another set of headers needs
+    another class with the same methods.
     """
 
     __slots__ = ()
 
     def not_run(self, response: HTTPResponse) -> bool:
-        """Tell whether the answer says that the call did not run."""
+        """Return whether the answer reports that the call did not run."""
         return (
             NOT_RUN_HEADER in response.headers
             and response.status in SHED_STATUSES
         )
 
     def check(self, sent: HTTPHeaderDict, response: HTTPResponse) -> None:
-        """Look for signs that the answer is not that of what was sent.
+        """Check that the answer belongs to the request that was sent.
 
-        :raises BrokenAnswerError: it is another's, or promises what is false
+        :raises BrokenAnswerError: it answers another request or reports
+            what cannot be true
         """
 
     def is_misdirected(self, response: HTTPResponse) -> bool:
-        """Tell whether another process has the endpoint's address now."""
+        """Return whether another process has the endpoint's address now."""
         return False
 
     def load(self, headers: HTTPHeaderDict) -> int | None:
-        """Give the in-flight count that the endpoint reports."""
+        """Return the in-flight count that the endpoint reports."""
         load = headers.get(LOAD_HEADER, "")
         return int(load) if load.isdecimal() and len(load) < 10 else None
 
     def stretch(self, headers: HTTPHeaderDict) -> float | None:
-        """Give how many times as long as usual work takes there now."""
+        """Return the present service time as a multiple of the usual."""
         return None
 
     def cold_s(self, headers: HTTPHeaderDict) -> float | None:
-        """Give for how many seconds more the endpoint is cold."""
+        """Return how long the endpoint stays cold, in seconds."""
         return None
 
     def is_forwarded(self, name: str) -> bool:
-        """Tell whether a header, in small letters, is for the caller."""
-        return name not in OWN_HEADERS
+        """Return whether a header, in lower case, is forwarded to callers."""
+        return name not in ENTRY_HEADERS
--- a/packages/daemon/nutmegchute_daemon/call_formats.py
+++ b/packages/daemon/nutmegchute_daemon/call_formats.py
@@ -1,4 +1,4 @@
-"""Say which headers carry what decisions need of a call."""
+"""Read calls and write attempts with the headers that describe a call."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class CallFormat(AnswerFormat):
-    """Read calls and write attempts in the product's own form."""
+    """Read calls and write attempts with the product's own headers."""
 
     __slots__ = ()
 
@@ -28,7 +28,7 @@
         ``body_bytes`` limits its body; ``buffer_limit`` returns how many bytes
         of it are read before an endpoint is chosen.
 
-        :raises BadRequestError: it cannot be taken as it is
+        :raises BadRequestError: the request is malformed
         :raises BadBodyError: its body cannot be read
         """
         path = http.uri.partition(b"?")[0].decode("latin-1")
@@ -37,18 +37,18 @@
     def attempt_headers(
         self, call: PendingCall, attempt: int, remaining_ms: int, instance: str
     ) -> HTTPHeaderDict:
-        """Give the headers of one attempt."""
+        """Return the headers of one attempt."""
         headers = call.request.headers.copy()
-        # A mark that ended here would let each of 16 layers retry anew:
-        # one failing service at the bottom, 2 to the 16th calls to it.
+        # If the attempt number were not forwarded, each of 16 layers could
+        # retry: a failing service behind them would get 2 to the 16th calls.
         headers[ATTEMPT_HEADER] = str(max(call.arrival.attempt, attempt))
         headers[DEADLINE_HEADER] = str(remaining_ms)
         return headers
 
     def retry_after(self, delay_s: float) -> str:
-        """Write when a refused caller should come back."""
+        """Format the delay after which a refused caller may retry."""
         return str(max(1, round(delay_s)))
 
     def entry_headers(self, http: StrictRequest) -> list[tuple[str, str]]:
-        """Give the headers that an answer of this entry's own bears."""
+        """Return the extra headers of answers made by this entry."""
         return []
--- a/packages/daemon/nutmegchute_daemon/fingerprints.py
+++ b/packages/daemon/nutmegchute_daemon/fingerprints.py
@@ -1,20 +1,21 @@
-"""Recognize a request that comes again, whoever takes it."""
+"""Recognize repetitions of a request at any entry."""
 
 import hashlib
 
 from .senders import Request
 
 DIGEST_BYTES = 16
-# Headers by which callers say who they are.
+# Headers by which callers identify themselves.
 CALLER_HEADERS = ("authorization", "cookie")
 
 
 def fingerprint(host: str, service: str, request: Request) -> str:
-    """Digest what a request asks and who asks it.
+    """Return a digest of a request's content and of who sends it.
 
-    A caller that tries again sends another request id, another deadline
-    and perhaps other headers of its own. Of a long body only what is kept
-    counts: the rest is not there yet when the request is placed.
+    A caller that retries sends another request id, another deadline and
+    perhaps other headers of its own, so only the headers that identify it
+    count. Of a long body only the buffered part counts: the rest has not
+    arrived when an endpoint is chosen.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     parts = [host.lower(), service, request.method, request.target]
--- a/packages/daemon/nutmegchute_daemon/pending_calls.py
+++ b/packages/daemon/nutmegchute_daemon/pending_calls.py
@@ -1,4 +1,4 @@
-"""Carry one call between its worker thread and the loop."""
+"""Hold a call that a worker thread and the loop process together."""
 
 import queue
 import threading
@@ -14,11 +14,11 @@
 
 
 class Arrival:
-    """Hold what decisions need of a call: where to, and until when.
+    """Hold the parts of a request that decide where and when it is sent.
 
-    ``deadline_s`` is the caller's own, if any; ``attempt`` is over 1 where
-    a layer before this entry has sent the call again. ``host`` names what
-    the caller asked for where routes decide on the service.
+    ``deadline_s`` is the caller's own, if any; ``attempt`` is above 1 if a
+    layer in front of this entry has retried the call. ``host`` is the
+    requested host where routes choose the service.
     """
 
     __slots__ = (
@@ -47,24 +47,24 @@
         self.attempt = attempt
 
     def deduct_wait(self, waited_s: float) -> None:
-        """Take off what the call has waited before its admission."""
+        """Subtract the time that the call has waited before its admission."""
         if self.deadline_s is not None:
             self.deadline_s = max(0.0, self.deadline_s - waited_s)
 
-    def min_deadline_s(self, most_s: float) -> float:
-        """Give the shorter of the caller's deadline and another."""
-        # Nothing left (0.0) is not "no deadline" (None): taken for it, a
-        # call that is too late already would be claimed and sent.
+    def min_deadline_s(self, max_s: float) -> float:
+        """Return the shorter of the caller's deadline and another."""
+        # No time left (0.0) is not "no deadline" (None): mistaken for it, a
+        # call that is already too late would be claimed and sent.
         if self.deadline_s is None:
-            return most_s
-        return min(most_s, self.deadline_s)
+            return max_s
+        return min(max_s, self.deadline_s)
 
 
 class CallRecord:
-    """Gather what became of a call, for its line in the log.
+    """Hold the outcome of a call, for its line in the log.
 
-    ``sends`` holds a line for each attempt, with what was known of the
-    endpoint when it was chosen.
+    ``sends`` has an item for each attempt, with the data behind the choice
+    of its endpoint.
     """
 
     __slots__ = (
@@ -78,8 +78,8 @@
     )
 
     def __init__(self) -> None:
-        # Both on the monotonic clock; none until the call was admitted, and
-        # until its answer was written.
+        # On the monotonic clock; None until the call is admitted and until
+        # its answer is written.
         self.opened_at: float | None = None
         self.ended_at: float | None = None
         self.route = ""
@@ -90,18 +90,18 @@
 
     @property
     def ms(self) -> float:
-        """Give how long the call took here, in milliseconds."""
+        """Return how long the call took here, in milliseconds."""
         if self.opened_at is None or self.ended_at is None:
             return 0.0
         return round((self.ended_at - self.opened_at) * 1000, 1)
 
 
 class PendingCall:
-    """Carry the loop's actions for one call to its worker thread.
+    """Pass the loop's actions for one call to its worker thread.
 
-    ``name`` is what the caller calls the request, if anything. ``claim``
-    is the call's idempotency key and ``claimed`` tells whether its rule
-    asks for one; ``status`` is that of the answer read last.
+    ``name`` is the caller's id of the request, if it has one. ``claim``
+    holds the call's idempotency key; ``claimed`` is set if its rule requires
+    one. ``status`` is that of the answer read last.
     """
 
     __slots__ = (
@@ -138,11 +138,11 @@
         self.claimed = False
         self.status = 0
         self.request = request
-        # Says what the request asks, also where it comes again.
+        # The same for every repetition of the request.
         self.fingerprint = fingerprint(arrival.host, arrival.service, request)
         self.socket_number = socket_number
         self.call_id = 0
-        # Written and read by the loop alone.
+        # Written and read only on the loop.
         self.exchanges: dict[int, Exchange] = {}
         self.worker_attempt: int | None = None
         self._lock = threading.Lock()
@@ -154,20 +154,20 @@
     def put(
         self, action: CallAction, exchange: Exchange | None = None
     ) -> None:
-        """Hand over an action; the loop calls this."""
+        """Queue an action; the loop calls this."""
         self._actions.put((action, exchange))
 
     def next_action(
         self, timeout_s: float
     ) -> tuple[CallAction | None, Exchange | None]:
-        """Wait for the next action; None says that none came."""
+        """Wait for the next action; return None if there is none in time."""
         try:
             return self._actions.get(timeout=timeout_s)
         except queue.Empty:
             return None, None
 
     def add_reply(self, attempt: int, reply: Reply) -> None:
-        """Keep an attempt's reply until the loop has chosen one."""
+        """Store an attempt's reply until the loop has chosen one."""
         with self._lock:
             if not self._closed:
                 self._replies[attempt] = reply
@@ -175,7 +175,7 @@
         reply.close()
 
     def close(self, attempt: int | None = None) -> Reply | None:
-        """Take the chosen attempt's reply and close all others."""
+        """Return the chosen attempt's reply and close all others."""
         with self._lock:
             self._closed = True
             chosen = None
--- a/packages/daemon/nutmegchute_daemon/probes.py
+++ b/packages/daemon/nutmegchute_daemon/probes.py
@@ -1,4 +1,4 @@
-"""Ask endpoints about their load, a few at a time."""
+"""Query endpoints for their load, a few at a time."""
 
 import time
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 from .servers import LoopRunner
 
 LOAD_PATH = "/nutmegchute/load"
-THREADS = 6
-# An endpoint that takes longer to tell is no place for a call.
-TIMEOUT_S = 0.1
+PROBE_THREADS = 6
+# An endpoint that takes longer to report is no candidate for a call.
+PROBE_TIMEOUT_S = 0.1
 MAX_PENDING = 32
 
 OnResult = Callable[
@@ -25,7 +25,7 @@
 
 
 class Prober:
-    """Carry out probes; what cannot be asked in time is dropped."""
+    """Carry out probes and drop those that would come too late."""
 
     __slots__ = (
         "_path",
@@ -39,27 +39,27 @@
     def __init__(
         self, runner: LoopRunner, sender: Sender, path: str | None = None
     ) -> None:
-        # Takes the end of each probe, on the loop.
+        # Receives the result of each probe, on the loop.
         self.on_result: OnResult
         self._runner = runner
         self._sender = sender
         self._path = path
-        self._threads = ThreadPoolExecutor(THREADS, "probe")
-        # Changed by the loop and the probing threads; a count that is off
-        # by one for a moment only moves the bound by one.
+        self._threads = ThreadPoolExecutor(PROBE_THREADS, "probe")
+        # Changed by the loop and the probing threads without a lock; a count
+        # that is briefly off by one only shifts the limit by one.
         self._pending = 0
 
     def enqueue(self, probe: Probe) -> None:
-        """Ask in the background; the loop calls this."""
+        """Query in the background; the loop calls this."""
         if self._pending >= MAX_PENDING:
-            # The threads hang on slow endpoints. An old report is worth
-            # nothing, and who waits for this one waits a moment only.
+            # All threads wait for slow endpoints. A late report is useless,
+            # and a call that waits for this one waits only briefly.
             return
         self._pending += 1
         self._threads.submit(self._query, probe)
 
     def stop(self) -> None:
-        """Drop what was not asked yet."""
+        """Drop the probes that have not started."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     def _query(self, probe: Probe) -> None:
@@ -73,7 +73,7 @@
         answered = False
         try:
             reply = self._sender.send(
-                request, probe.endpoint, TIMEOUT_S, Exchange()
+                request, probe.endpoint, PROBE_TIMEOUT_S, Exchange()
             )
             answered = reply.status == 200
             if answered:
--- a/packages/daemon/nutmegchute_daemon/protocols.py
+++ b/packages/daemon/nutmegchute_daemon/protocols.py
@@ -1,4 +1,4 @@
-"""Name the headers and the outcomes that they tell."""
+"""Define the headers and the outcomes that they report."""
 
 ATTEMPT_HEADER = "Nutmegchute-Attempt"
 DEADLINE_HEADER = "Nutmegchute-Deadline-Ms"
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -1,4 +1,4 @@
-"""Read a call out of a caller's request, or say why it is refused."""
+"""Read a call from a caller's request, or report why it is refused."""
 
 import re
 import time
@@ -33,7 +33,7 @@
 
 
 class BadRequestError(DaemonError):
-    """Say what a caller sent that cannot be taken; nothing ran."""
+    """Report why a request is not accepted; nothing ran."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -47,7 +47,7 @@
 
     Of its body ``buffer_bytes`` are read here, the rest when it is sent.
 
-    :raises BadRequestError: it cannot be taken as it is
+    :raises BadRequestError: the request is malformed
     :raises BadBodyError: its body cannot be read
     """
     service, request = _read_request(http, body_bytes, buffer_bytes)
@@ -63,9 +63,9 @@
 
 
 def check_request_line(http: StrictRequest) -> None:
-    """Refuse a request line that endpoints could read differently.
+    """Refuse a request line that endpoints could parse differently.
 
-    :raises BadRequestError: it cannot be taken as it is
+    :raises BadRequestError: the request line is malformed
     """
     if not _METHOD.fullmatch(http.method):
         raise BadRequestError(400, "method is not a word of letters")
@@ -77,15 +77,15 @@
     http: StrictRequest, body_bytes: int, buffer_bytes: int
 ) -> tuple[str, Request]:
     check_request_line(http)
-    # The raw target goes on as it came: decoding it would turn an
+    # The raw target is forwarded unchanged: decoding it would turn an
     # escaped slash or question mark into another path.
     raw = http.uri[len(CALL_PATH) :].decode("ascii")
     service, slash, rest = raw.partition("/")
     if "?" in service:
         service, _, query = service.partition("?")
         rest = f"?{query}{slash}{rest}"
-    # The ledger compares whole requests, so that a key is never taken
-    # for that of another request.
+    # The ledger compares whole requests, so that a key reused for another
+    # request is recognized; the body of a keyed request is buffered whole.
     keyed = http.inheaders.get(KEY_HEADER.encode()) is not None
     size = body_bytes + 1 if keyed else buffer_bytes
     return service, build_request(http, "/" + rest, body_bytes, size)
@@ -95,16 +95,16 @@
     http: StrictRequest,
     target: str,
     body_bytes: int,
-    start_bytes: int,
+    prefix_bytes: int,
 ) -> Request:
-    """Read a request's body as far as it is kept, and build what is sent.
+    """Buffer the start of a request's body and build the request to send.
 
     :raises BadBodyError: its body cannot be read
     """
     headers = _end_to_end(http.fields)
     body = Body(http, body_bytes)
-    start = _read_start(body, start_bytes)
-    request = Request(http.method.decode(), target, headers, start)
+    prefix = _read_prefix(body, prefix_bytes)
+    request = Request(http.method.decode(), target, headers, prefix)
     if not body.whole:
         request.rest = BodyRest(body.read)
     elif "content-length" in headers:
@@ -112,7 +112,7 @@
     return request
 
 
-def _read_start(body: Body, size: int) -> bytes:
+def _read_prefix(body: Body, size: int) -> bytes:
     pieces = []
     length = 0
     while length < size and not body.whole:
@@ -123,13 +123,13 @@
 
 
 def _end_to_end(fields: Iterable[tuple[str, str]]) -> HTTPHeaderDict:
-    named: set[str] = set()
+    options: set[str] = set()
     for name, value in fields:
         if name.lower() == "connection":
-            named |= connection_options(value)
+            options |= connection_options(value)
     headers = HTTPHeaderDict()
     for name, value in fields:
-        if name.lower() in HOP_BY_HOP_HEADERS or name.lower() in named:
+        if name.lower() in HOP_BY_HOP_HEADERS or name.lower() in options:
             continue
         headers.add(name, value)
     suppress_user_agent(headers)
@@ -137,13 +137,13 @@
 
 
 def _read_number(
-    http: StrictRequest, name: str, most: int, unit: str
+    http: StrictRequest, name: str, limit: int, unit: str
 ) -> int | None:
     text = http.inheaders.get(name.encode().title())
     if text is None:
         return None
-    if not text.isdigit() or len(text) > 9 or not 0 < int(text) <= most:
-        raise BadRequestError(400, f"{name} must be 1 to {most}{unit}")
+    if not text.isdigit() or len(text) > 9 or not 0 < int(text) <= limit:
+        raise BadRequestError(400, f"{name} must be 1 to {limit}{unit}")
     return int(text)
 
 
@@ -157,9 +157,9 @@
 
 
 def remaining_s(http: StrictRequest, deadline_s: float) -> float:
-    """Give what is left of a deadline, in seconds.
+    """Return what is left of a deadline, in seconds.
 
-    The time that the request waited for a worker thread is gone as well.
+    The time that the request waited for a worker thread counts as used.
     """
     waited_s: float = time.monotonic() - http.conn.ready_at
     return max(0.0, deadline_s - waited_s)
--- a/packages/daemon/nutmegchute_daemon/sockets.py
+++ b/packages/daemon/nutmegchute_daemon/sockets.py
@@ -1,10 +1,10 @@
-"""Look at a connection without taking anything from it."""
+"""Check a connection without consuming its data."""
 
 import socket
 
 
 def is_peer_closed(socket_number: int) -> bool:
-    """Tell whether the other side has closed its connection."""
+    """Return whether the other side has closed its connection."""
     try:
         sock = socket.socket(fileno=socket_number)
     except OSError:
@@ -17,5 +17,5 @@
     except OSError:
         return True
     finally:
-        # The number belongs to the worker; only this view of it ends.
+        # The worker owns the descriptor; detaching keeps it open.
         sock.detach()
