--- a/tests/test_controls.py
+++ b/tests/test_controls.py
@@ -1,4 +1,4 @@
-"""Kill, stop and rob real control replicas on loopback."""
+"""Kill, suspend and wipe real control replicas on loopback."""
 
 import resource
 import shutil
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """Start 3 control replicas and 2 entries that follow a first tree."""
+    """Start 3 control replicas and 2 entries that apply a first tree."""
     one = Cluster(tmp_path_factory.mktemp("controls"), ["a", "b", "c"])
     try:
         one.start(controls=3, entries=2, entries_keep_s=0.1)
@@ -65,7 +65,7 @@
 
 
 def change(cluster: Cluster, change_id: str, base: int) -> Any:
-    """Send a change, again and again, until its outcome is known."""
+    """Resend a change until its outcome is known."""
 
     def sent() -> Any:
         leader = cluster.leader()
@@ -88,29 +88,29 @@
 
 
 def wait_in_force(cluster: Cluster, index: int) -> None:
-    """Wait until a leader says that an index is in force everywhere."""
+    """Wait until a leader reports that all entries apply an index."""
 
-    def told() -> bool:
+    def is_in_force() -> bool:
         leader = cluster.leader()
         status = cluster.ask(leader) if leader is not None else None
         if status is None:
             return False
         return bool(status["index"] >= index and status["in_force"])
 
-    cluster.wait_for("in force", told)
+    cluster.wait_for("in force", is_in_force)
 
 
 def replicas(cluster: Cluster) -> Any:
-    """Ask the leader for the replicas."""
+    """Return the replicas as the leader lists them."""
     leader = cluster.wait_for("a leader", cluster.leader)
     return cluster.ask(leader, "/replicas")
 
 
 def test_a_killed_leader_loses_no_accepted_change(cluster: Cluster) -> None:
-    """The leader is killed between changes; its accepted ones stay.
+    """A killed leader's accepted changes persist.
 
-    The operator resends a change whose answer came from the dead leader
-    and gets that same answer from the new one.
+    A change that it answered and that the operator resends gets the same
+    answer from the new leader.
     """
     base = revision(cluster)
     first = change(cluster, "killed-1", base)
@@ -125,11 +125,11 @@
     wait_in_force(cluster, second["index"])
 
 
-def test_all_killed_at_once_remember_everything(cluster: Cluster) -> None:
-    """Every replica is killed right after an answer.
+def test_all_killed_at_once_lose_no_accepted_change(cluster: Cluster) -> None:
+    """All replicas are killed right after an answer.
 
-    Answers were synced by a majority before they were given, so after the
-    restart the tree, the audit trail and the answer to a resend are there.
+    A majority syncs a change before it is answered, so after the restart
+    the tree, the audit trail and the answer to a resend are complete.
     """
     base = revision(cluster)
     answers = [
@@ -152,11 +152,11 @@
     assert [one["change_id"] for one in after] == ["all-19"]
 
 
-def test_a_stopped_leader_answers_nothing_old(cluster: Cluster) -> None:
-    """The leader freezes, the others go on, and it wakes up again.
+def test_a_suspended_leader_serves_no_outdated_tree(cluster: Cluster) -> None:
+    """The leader is suspended, the others elect another, and it resumes.
 
-    It still believes to lead for a moment. No entry goes back to its
-    older tree, and a change sent to it is not accepted twice.
+    For a moment it still takes itself for the leader. No entry may go back
+    to its older tree, and no change may be accepted twice.
     """
     base = revision(cluster)
     index = change(cluster, "stopped-1", base)["index"]
@@ -166,7 +166,7 @@
     try:
         others = [one for one in cluster.controls if one is not old]
         accepted = cluster.wait_for(
-            "a change without the frozen leader",
+            "a change without the suspended leader",
             lambda: first_accepted(others, body("stopped-2", base + 1)),
         )
     finally:
@@ -181,7 +181,7 @@
 
 
 def first_accepted(processes: list[Process], request: Any) -> Any:
-    """Send a change to each; return the first answer."""
+    """Send a change to each process; return the first answer."""
     for process in processes:
         try:
             status, answer = post(process, "/changes", request)
@@ -192,11 +192,11 @@
     return None
 
 
-def test_restarted_entry_acts_on_nothing_old(cluster: Cluster) -> None:
-    """An entry restarts while only one replica, without a quorum, runs.
+def test_restarted_entry_uses_no_unconfirmed_tree(cluster: Cluster) -> None:
+    """An entry restarts while only one replica runs, without a quorum.
 
-    That replica may lack the newest change. The entry gets no tree from
-    it and refuses calls as "not run" until a leader is confirmed.
+    That replica may lack the newest change. The entry must get no tree
+    from it and refuse calls as "not-run" until a leader is confirmed.
     """
     index = change(cluster, "entry-1", revision(cluster))["index"]
     wait_in_force(cluster, index)
@@ -224,12 +224,15 @@
     )
 
 
-def test_lost_disk_returns_as_another_replica(cluster: Cluster) -> None:
-    """A disk is lost, the replica repaired, and then a second one lost.
+def test_replica_with_a_lost_disk_rejoins_under_a_new_identity(
+    cluster: Cluster,
+) -> None:
+    """A replica loses its disk and rejoins; then a second one is killed.
 
-    Under its old identity the replica would vote against what it forgot.
-    It introduces itself under a new one, is taken in as a learner, votes
-    once it has caught up, and carries the group when the next one dies.
+    Under its old identity the replica could vote contrary to votes and
+    entries that it has lost. It joins under a new identity as a learner,
+    becomes a voter once it has caught up, and completes the majority when
+    the next replica is killed.
     """
     base = revision(cluster)
     before = change(cluster, "disk-1", base)
@@ -240,12 +243,12 @@
     lost.wait()
     shutil.rmtree(cluster.folder / lost.name)
     lost.restart()
-    wish = {"action": "replace", "name": lost.name}
+    membership_request = {"action": "replace", "name": lost.name}
 
     def replaced() -> bool:
-        # The leader replaces a namesake that was silent for a second by
-        # itself, and then refuses the operator's wish.
-        if post(leader, "/replicas", wish)[0] == 200:
+        # The leader replaces a replica of the same name by itself once the
+        # old one was silent for 1 s, and then refuses the operator's request.
+        if post(leader, "/replicas", membership_request)[0] == 200:
             return True
         return bool(identity_of(cluster, lost) != old)
 
@@ -267,7 +270,7 @@
 
 
 def identity_of(cluster: Cluster, process: Process) -> Any:
-    """Read a replica's identity from the leader."""
+    """Return a replica's identity as the leader lists it."""
     for row in replicas(cluster)["replicas"]:
         if row["name"] == process.name:
             return row["identity"]
@@ -275,13 +278,13 @@
 
 
 def test_impossible_changes_of_replicas_are_refused(cluster: Cluster) -> None:
-    """Nothing is changed when the replica is unknown or not there."""
+    """A request that names an unknown replica or action is refused."""
     leader = cluster.wait_for("a leader", cluster.leader)
-    for wish, text in (
+    for membership_request, text in (
         ({"action": "add", "name": "control-9"}, b"not introduced"),
         ({"action": "remove", "name": "control-9"}, b"no replica is named"),
     ):
-        status, reason = post(leader, "/replicas", wish)
+        status, reason = post(leader, "/replicas", membership_request)
         assert status == 409
         assert text in reason
     status, _ = post(leader, "/replicas", {"action": "x", "name": "y"})
@@ -289,7 +292,7 @@
 
 
 def test_second_daemon_on_a_folder_is_refused(cluster: Cluster) -> None:
-    """Its exit status and one line name the folder that is in use."""
+    """The daemon exits with status 2 and says that the folder is in use."""
     settings = cluster.folder / "control-1.json"
     document = msgspec.json.decode(settings.read_bytes())
     copy = Path(cluster.folder) / "second.json"
@@ -305,19 +308,19 @@
     assert "in use by another daemon" in ended.stderr
 
 
-def test_full_disk_stands_still_and_recovers(cluster: Cluster) -> None:
-    """The leader's disk takes no more bytes; later there is room again.
+def test_replica_with_a_full_disk_stops_and_recovers(cluster: Cluster) -> None:
+    """The leader's disk is full; later there is space again.
 
-    It must not acknowledge what it could not sync: it stands still and
-    says why, the others go on, and it catches up by itself once it can
-    write. Changes sent meanwhile are accepted once or not at all.
+    It must not acknowledge what it could not sync: it stops and reports
+    why, the others continue, and it catches up by itself once it can write
+    again. Changes sent meanwhile are accepted at most once.
     """
     base = revision(cluster)
     leader = cluster.wait_for("a leader", cluster.leader)
     log_bytes = (cluster.folder / f"{leader.name}.log").stat().st_size
     limit = log_bytes + 8_000
-    endless = resource.RLIM_INFINITY
-    resource.prlimit(leader.pid, resource.RLIMIT_FSIZE, (limit, endless))
+    unlimited = resource.RLIM_INFINITY
+    resource.prlimit(leader.pid, resource.RLIMIT_FSIZE, (limit, unlimited))
     sent = 0
     try:
         status = cluster.ask(leader) or {}
@@ -327,26 +330,29 @@
             assert answer["outcome"] == "accepted"
             sent += 1
             status = cluster.ask(leader) or {}
-        # Of the same answer: the replica goes on at once in a new segment.
+        # From the same answer: the replica continues in a new segment, so
+        # that another query might no longer report the problem.
         assert "File too large" in status["problem"]
         assert change(cluster, "full-x", base + sent)["outcome"] == "accepted"
     finally:
-        resource.prlimit(leader.pid, resource.RLIMIT_FSIZE, (endless, endless))
+        resource.prlimit(
+            leader.pid, resource.RLIMIT_FSIZE, (unlimited, unlimited)
+        )
     assert revision(cluster) == base + sent + 1
 
-    def whole() -> bool:
+    def has_all_changes() -> bool:
         found = cluster.ask(leader, "/tree") or {"revisions": {}}
         return bool(found["revisions"].get("lending") == base + sent + 1)
 
-    cluster.wait_for("the replica to catch up", whole)
+    cluster.wait_for("the replica to catch up", has_all_changes)
     assert (cluster.ask(leader) or {})["problem"] is None
 
 
 def test_forbidden_change_is_on_the_audit_trail(tmp_path: Path) -> None:
-    """A key opens one branch; an attempt on another leaves a record.
+    """A key permits one branch; an attempt to change another is recorded.
 
-    Whoever looks next morning sees who tried, though nothing was changed.
-    An unknown key gets 401 and no record.
+    The audit trail shows who tried, though nothing was changed. A request
+    without a known key gets 401 and no record.
     """
     cluster = Cluster(tmp_path, ["a"])
     try:
@@ -361,8 +367,8 @@
         process.restart()
         cluster.wait_for("a leader", cluster.leader)
         assert post(process, "/changes", body("no", 0))[0] == 403
-        wish = {"action": "remove", "name": process.name}
-        assert post(process, "/replicas", wish)[0] == 403
+        membership_request = {"action": "remove", "name": process.name}
+        assert post(process, "/replicas", membership_request)[0] == 403
         wrong = POOL.request(
             "POST", f"http://{process.address}/changes", body=b"{}"
         )
@@ -375,35 +381,35 @@
         cluster.stop()
 
 
-def test_stopped_replica_hands_its_vote_over(tmp_path: Path) -> None:
-    """A replica is replaced by another one, then a disk and all power go.
+def test_stopping_replica_gives_up_its_vote(tmp_path: Path) -> None:
+    """A fourth replica joins, one is stopped, then power and a disk fail.
 
-    The operator waits for a change that is never taken: the replaced
-    replica went on counting, so with it and the one without its disk gone,
-    the two that are left of four were no majority.
+    If the stopped replica kept its vote, the group would have four voters.
+    Without it and the one that lost its disk, the remaining two would be no
+    majority, and no change would be accepted any more.
     """
     cluster = Cluster(tmp_path, ["a", "b", "c"])
     try:
         cluster.start(controls=3, entries=0)
         change(cluster, "before", 0)
         cluster.add_control("control-4")
-        newcomer = cluster.controls[-1]
-        wish = {"action": "add", "name": newcomer.name}
+        new_replica = cluster.controls[-1]
+        membership_request = {"action": "add", "name": new_replica.name}
 
         def added() -> bool:
             leader = cluster.leader()
-            return leader is not None and post(leader, "/replicas", wish)[
-                0
-            ] in (200, 409)
+            return leader is not None and post(
+                leader, "/replicas", membership_request
+            )[0] in (200, 409)
 
         def caught_up() -> bool:
             for row in replicas(cluster)["replicas"]:
-                if row["name"] == newcomer.name:
+                if row["name"] == new_replica.name:
                     return bool(row["match_index"])
             added()
             return False
 
-        cluster.wait_for("the newcomer to catch up", caught_up)
+        cluster.wait_for("the new replica to catch up", caught_up)
         replaced = cluster.wait_for("a leader", cluster.leader)
         replaced.signal(signal.SIGTERM)
         assert replaced.wait() == 0
@@ -422,15 +428,15 @@
 
 
 def evacuated(cluster: Cluster, process: Process) -> Any:
-    """List the evacuated zones as a replica knows them, if it answers."""
+    """List the evacuated zones that a replica reports, None if silent."""
     found = cluster.ask(process, "/evacuations")
     if found is None:
         return None
     return [one["availability_zone"] for one in found]
 
 
-def test_evacuation_outlasts_its_leader(cluster: Cluster) -> None:
-    """Guard against an acknowledged evacuation that a new leader forgot."""
+def test_evacuation_survives_a_leader_change(cluster: Cluster) -> None:
+    """A new leader keeps an evacuation that was acknowledged."""
     order = {"availability_zone": "b", "evacuate": True}
     leader = cluster.wait_for("a leader", cluster.leader)
     assert post(leader, "/evacuations", order)[0] == 200
@@ -438,7 +444,8 @@
     assert (status, answer["detail"]) == (200, "nothing to change")
     for one in cluster.controls:
         cluster.wait_for(
-            f"it at {one.name}", lambda c=one: evacuated(cluster, c) == ["b"]
+            f"the order at {one.name}",
+            lambda c=one: evacuated(cluster, c) == ["b"],
         )
     leader.kill()
     successor = cluster.wait_for("a leader", cluster.leader)
@@ -450,8 +457,8 @@
     cluster.wait_for("the order", lambda: evacuated(cluster, leader) == [])
 
 
-def test_evacuation_of_no_zone_changes_nothing(cluster: Cluster) -> None:
-    """Guard against an ill-formed order that reaches the log."""
+def test_evacuation_of_an_invalid_zone_is_refused(cluster: Cluster) -> None:
+    """A malformed order must not reach the log."""
     leader = cluster.wait_for("a leader", cluster.leader)
     for zone in ("", "Hall A", "x" * 80):
         order = {"availability_zone": zone, "evacuate": True}
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -1,4 +1,4 @@
-"""Describe control replicas to operators."""
+"""Test how control replicas are described to operators."""
 
 import pytest
 from nutmegchute_core.replicas import LEADER
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_new_leader_with_an_old_tree_does_not_lead_yet(seed: int) -> None:
-    """Guard operators against an empty tree right after a start."""
+def test_new_leader_is_not_shown_as_leader_until_ready(seed: int) -> None:
+    """Operators must not be shown an empty tree right after a start."""
     cluster = SimulatedCluster(3, 1, seed)
     cluster.run(3.0)
     documents = {"lending": team(catalogo=[rule()])}
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -1,4 +1,4 @@
-"""Keep endpoints over a control replica's restart."""
+"""Test that endpoints are kept across a control replica's restart."""
 
 import asyncio
 from pathlib import Path
@@ -18,43 +18,43 @@
     return Registrar("10.1.0.1:7000", lambda: True, lambda: None)
 
 
-async def keep(disk: Disk, owner: Registrar) -> None:
-    """Write what a registrar knows."""
+async def save_endpoints(disk: Disk, owner: Registrar) -> None:
+    """Register an endpoint and save the registrar's endpoints."""
     endpoint_file = EndpointFile(disk, owner)
     owner.restore_endpoints([ENDPOINT])
     endpoint_file.save()
     await asyncio.gather(*asyncio.all_tasks() - {asyncio.current_task()})
 
 
-def test_endpoints_are_recalled(tmp_path: Path) -> None:
-    """Know after a start what was known before it."""
+def test_endpoints_are_restored(tmp_path: Path) -> None:
+    """The endpoints saved before a restart are present after it."""
     disk = Disk(tmp_path)
-    asyncio.run(keep(disk, registrar()))
+    asyncio.run(save_endpoints(disk, registrar()))
     after = registrar()
     EndpointFile(disk, after).load()
     assert after.present() == [ENDPOINT]
 
 
-def test_first_start_recalls_nothing(tmp_path: Path) -> None:
-    """Start without a list."""
+def test_first_start_restores_nothing(tmp_path: Path) -> None:
+    """A missing file is no error."""
     owner = registrar()
     EndpointFile(Disk(tmp_path), owner).load()
     assert owner.present() == []
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1\x00", b"\x91\x01"])
-def test_damaged_list_is_left_alone(tmp_path: Path, data: bytes) -> None:
-    """Start although the list cannot be read: it is only a help."""
+def test_damaged_file_is_ignored(tmp_path: Path, data: bytes) -> None:
+    """A file that can't be read does not prevent a start: it is optional."""
     (tmp_path / ENDPOINTS_FILE).write_bytes(data)
     owner = registrar()
     EndpointFile(Disk(tmp_path), owner).load()
     assert owner.present() == []
 
 
-def test_disk_that_refuses_holds_nobody(
+def test_endpoints_register_while_the_disk_fails(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Go on hearing endpoints while the list cannot be written."""
+    """A file that can't be written does not affect the registry."""
 
     def refuse(*_: object) -> None:
         raise OSError(28, "no space left")
@@ -62,5 +62,5 @@
     disk = Disk(tmp_path)
     owner = registrar()
     monkeypatch.setattr(Disk, "replace", refuse)
-    asyncio.run(keep(disk, owner))
+    asyncio.run(save_endpoints(disk, owner))
     assert owner.present() == [ENDPOINT]
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Test how a control replica finds the group that it belongs to."""
+"""Test how a control replica finds its group."""
 
 import asyncio
 from typing import Any
@@ -18,36 +18,36 @@
 
 
 class FakeLinks:
-    """Answer introductions by address; others stay silent for ever."""
+    """Answer introductions by address; other addresses never respond."""
 
     def __init__(self, answers: dict[str, Introduction]) -> None:
         self.answers = answers
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     def serve(self, method: Any, handler: Any) -> None:
-        """Note how introductions are taken."""
+        """Store the handler of introductions."""
         self.handler = handler
 
     async def send_request(
         self, address: str, method: Any, request: Introduction
     ) -> Introduction | None:
-        """Give the answer of an address, or none."""
-        self.asked.append(address)
+        """Return the answer of an address, or wait for ever."""
+        self.requested.append(address)
         if address not in self.answers:
             await asyncio.Event().wait()
         return self.answers[address]
 
 
 class FakeStorage:
-    """Keep an identity in memory."""
+    """Hold an identity in memory."""
 
     def save_identity(self, identity: Identity) -> None:
-        """Keep it."""
+        """Store the identity."""
         self.identity = identity
 
 
 def settings(*seeds: str) -> Settings:
-    """Build the settings of a replica that knows these addresses."""
+    """Build the settings of a replica that lists these addresses."""
     values = {
         "name": "d",
         "role": "control",
@@ -61,7 +61,7 @@
 
 
 def introduction(name: str, leader: str = "") -> Introduction:
-    """Build what a member of the group says."""
+    """Build the introduction of a member of the group."""
     member = Member(f"{name}.1", name, f"10.1.0.{ord(name) - 96}:7000")
     return Introduction(member, "group", GENESIS, leader)
 
@@ -77,8 +77,8 @@
     )
 
 
-def test_answer_does_not_wait_for_a_replica_without_power() -> None:
-    """Join as soon as one answers; another of the list has no power."""
+def test_joining_does_not_wait_for_an_unresponsive_replica() -> None:
+    """A replica joins once one listed replica answers; one has no power."""
 
     async def run() -> None:
         links = FakeLinks({"10.1.0.2:7000": introduction("b")})
@@ -90,11 +90,12 @@
     asyncio.run(run())
 
 
-def test_leader_is_asked_where_a_follower_names_it() -> None:
-    """Introduce oneself to the leader, which no setting names.
+def test_replica_introduces_itself_to_the_reported_leader() -> None:
+    """A replica contacts the leader that a listed follower reports.
 
-    It alone takes members in. Its own answer refers no further: two that
-    take each other for the leader would do so without end.
+    Only the leader admits members. A referral in the leader's own answer is
+    not followed: two replicas that take each other for the leader would
+    refer to each other without end.
     """
 
     async def run() -> None:
@@ -105,29 +106,29 @@
             }
         )
         await group(links, "10.1.0.2:7000").introduce()
-        assert links.asked == ["10.1.0.2:7000", "10.1.0.3:7000"]
+        assert links.requested == ["10.1.0.2:7000", "10.1.0.3:7000"]
 
     asyncio.run(run())
 
 
-def test_members_of_the_log_are_asked_as_well() -> None:
-    """Ask those that the own log knows; all listed ones may be gone."""
+def test_replica_introduces_itself_to_the_members_in_its_log() -> None:
+    """The listed replicas may all be gone, so members of the log count too."""
 
     async def run() -> None:
         links = FakeLinks({})
         one = group(links, "10.1.0.1:7000")
         await one.introduce([Member("d.1", "d", OWN), *GENESIS.members])
         await one.introduce([Member("e.1", "e", "10.1.0.5:7000")])
-        assert links.asked == ["10.1.0.1:7000", "10.1.0.5:7000"]
+        assert links.requested == ["10.1.0.1:7000", "10.1.0.5:7000"]
 
     asyncio.run(run())
 
 
-def test_member_that_introduces_itself_shows_the_way() -> None:
-    """Ask the leader that a member names which called by itself.
+def test_replica_uses_the_leader_reported_by_a_member() -> None:
+    """An introduction received from a member leads to the leader.
 
-    The replica has lost its disk, and all that its settings list have been
-    replaced since: nobody else can tell it where the group is.
+    The replica has lost its disk, and the replicas listed in its settings
+    have all been replaced, so that it can't find the group otherwise.
     """
 
     async def run() -> None:
@@ -136,13 +137,13 @@
         await links.handler(introduction("b", "10.1.0.3:7000"))
         await one.form()
         await one.introduce()
-        assert "10.1.0.3:7000" in links.asked
+        assert "10.1.0.3:7000" in links.requested
 
     asyncio.run(run())
 
 
-def test_member_without_a_leader_shows_the_way_as_well() -> None:
-    """Ask the member itself that called while no replica led."""
+def test_replica_uses_the_address_of_a_member_without_a_leader() -> None:
+    """A member that knows no leader is contacted itself."""
 
     async def run() -> None:
         links = FakeLinks({"10.1.0.2:7000": introduction("b")})
@@ -150,16 +151,16 @@
         await links.handler(introduction("b"))
         await one.form()
         await one.introduce()
-        assert "10.1.0.2:7000" in links.asked
+        assert "10.1.0.2:7000" in links.requested
 
     asyncio.run(run())
 
 
-def test_listed_replicas_are_read_again() -> None:
-    """Ask the replicas of the settings in force, not those of the start.
+def test_replica_introduces_itself_to_newly_listed_replicas() -> None:
+    """A replica uses the settings in force, not those of its start.
 
-    The listed replicas were replaced while this one waits to be taken in.
-    Asking the old ones for ever, it would never be heard of.
+    If the listed replicas are replaced while it waits to join, it would
+    otherwise contact the old ones for ever and never be admitted.
     """
 
     async def run() -> None:
@@ -167,6 +168,6 @@
         one = group(links, "10.1.0.1:7000")
         one.reload(settings("10.1.0.6:7000"))
         await one.introduce()
-        assert links.asked == ["10.1.0.6:7000"]
+        assert links.requested == ["10.1.0.6:7000"]
 
     asyncio.run(run())
--- a/tests/test_quorums.py
+++ b/tests/test_quorums.py
@@ -41,8 +41,8 @@
     return Replica("a.1", HardState(3, None), log, 0.0, 1)
 
 
-def test_voters_are_told_once(lines: Lines) -> None:
-    """Log the voters after a start, and again only when they change."""
+def test_voters_are_logged_once(lines: Lines) -> None:
+    """The voters are logged after a start and when they change."""
     report = QuorumReport(0.0)
     report.update(replica(), 0.1)
     report.update(replica(), 0.2)
@@ -59,11 +59,11 @@
     ]
 
 
-def test_missing_votes_are_told(lines: Lines) -> None:
-    """Name who would vote, where two of four voters do not answer.
+def test_missing_votes_are_logged(lines: Lines) -> None:
+    """A candidate without a quorum logs the voters and the granted votes.
 
-    The replica stands again and again. From its log alone nobody could
-    tell whether the others refuse, are gone, or do not count as voters.
+    Otherwise its log would not show whether the others refuse, are
+    unreachable, or are no voters.
     """
     one = replica()
     one.tick(1.0)
@@ -72,8 +72,8 @@
     report.update(one, 1.0)
     report.update(one, LEADERLESS_S)
     report.update(one, LEADERLESS_S + 0.5)
-    told = [fields for event, fields in lines if event is Event.LEADERLESS]
-    assert told == [
+    logged = [fields for event, fields in lines if event is Event.LEADERLESS]
+    assert logged == [
         {
             "voters": ["a", "b", "c", "d"],
             "granted": ["a", "b"],
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -1,4 +1,4 @@
-"""Test what the disk keeps and what it refuses."""
+"""Test what storage keeps over crashes and which damage it reports."""
 
 import subprocess
 import sys
@@ -41,8 +41,8 @@
         storage.close()
 
 
-def test_saved_is_loaded(tmp_path: Path) -> None:
-    """Read back hard state and entries."""
+def test_saved_state_is_loaded(tmp_path: Path) -> None:
+    """The hard state and the entries are read back."""
     fill(tmp_path)
     storage = open_storage(tmp_path)
     stored = storage.load(GENESIS)
@@ -51,7 +51,7 @@
 
 
 def test_later_save_replaces_the_tail(tmp_path: Path) -> None:
-    """Entries of a deposed leader are gone once others took their place."""
+    """Entries of a former leader are dropped once others replace them."""
     fill(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
@@ -61,11 +61,11 @@
 
 
 @pytest.mark.parametrize("cut", [1, 3, 17, 20])
-def test_torn_tail_is_cut(tmp_path: Path, cut: int) -> None:
-    """A power cut in the last write loses only what was not promised.
+def test_incomplete_last_frame_is_truncated(tmp_path: Path, cut: int) -> None:
+    """A power cut during the last write loses only that save.
 
-    The replica starts and knows all but the last save: that write was not
-    synced, so nobody was told that it is safe.
+    The write was not synced, so it was never acknowledged. The replica
+    starts with everything before it.
     """
     path = fill(tmp_path)
     path.write_bytes(path.read_bytes()[:-cut])
@@ -74,10 +74,10 @@
 
 
 def test_damaged_middle_is_refused(tmp_path: Path) -> None:
-    """A flipped byte in an early save must not drop promised entries.
+    """A corrupt byte in an early save must not drop acknowledged entries.
 
-    The daemon does not start and names file and offset: cutting there
-    would forget entries that were acknowledged.
+    Truncating there would lose them, so the daemon refuses to start and
+    names file and offset.
     """
     path = fill(tmp_path)
     data = bytearray(path.read_bytes())
@@ -89,7 +89,7 @@
 
 
 def test_damaged_length_is_refused(tmp_path: Path) -> None:
-    """A flipped length makes the rest look torn; it is not cut either."""
+    """A corrupt length looks like an incomplete frame but is an error."""
     path = fill(tmp_path)
     data = bytearray(path.read_bytes())
     second = data.index(b"NCF1", 4)
@@ -100,10 +100,10 @@
 
 
 def test_damage_before_the_last_segment_is_refused(tmp_path: Path) -> None:
-    """A torn end is allowed in the last segment only.
+    """An incomplete frame is truncated in the last segment only.
 
-    A restart began a new segment, so the older one's end had been synced;
-    a hole there is a fault of the disk, not of a power cut.
+    A restart starts a new segment, so the end of the one before was synced;
+    an incomplete frame there is damage, not the effect of a power cut.
     """
     path = fill(tmp_path)
     assert load(tmp_path) == ENTRIES
@@ -113,7 +113,7 @@
 
 
 def test_second_daemon_is_refused(tmp_path: Path) -> None:
-    """Two daemons on one folder would overwrite each other's log."""
+    """Two daemons in one folder would overwrite each other's log."""
     storage = open_storage(tmp_path)
     script = (
         "import sys, pathlib\n"
@@ -130,8 +130,8 @@
     assert "in use by another daemon" in second.stderr
 
 
-def test_snapshot_stands_for_the_log_before_it(tmp_path: Path) -> None:
-    """After a snapshot only what follows it is read, and old files go."""
+def test_snapshot_replaces_the_log_before_it(tmp_path: Path) -> None:
+    """Only entries after a snapshot are loaded; older files are removed."""
     fill(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
@@ -148,7 +148,7 @@
 
 
 def test_damaged_snapshot_is_refused(tmp_path: Path) -> None:
-    """The log before a snapshot is gone, so nothing can stand in for it."""
+    """The log before a snapshot is removed, so nothing can replace it."""
     fill(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
@@ -163,7 +163,7 @@
 
 
 def test_lost_identity_beside_a_log_is_refused(tmp_path: Path) -> None:
-    """A log without its identity must not vote under a new name."""
+    """A replica with a log must not vote under a new identity."""
     storage = open_storage(tmp_path)
     storage.save_identity(Identity("r1"))
     storage.load(GENESIS)
@@ -175,16 +175,16 @@
 
 
 class Script:
-    """Run a fixed life of a replica's disk and note what was promised."""
+    """Run a fixed sequence of saves and record what was acknowledged."""
 
     def __init__(self, disk: FakeDisk) -> None:
         self._disk = disk
         self.identity: Identity | None = None
         self.hard_state = HardState()
-        self.top = LogEntry(0, 0, NoOp())
+        self.last_entry = LogEntry(0, 0, NoOp())
 
     def run(self) -> None:
-        """Save, replace a tail, compact, install; a power cut ends it."""
+        """Save, replace a tail, compact and install until a power cut."""
         storage = Storage(self._disk)  # type: ignore[arg-type]
         storage.save_identity(Identity("r1"))
         self.identity = Identity("r1")
@@ -192,18 +192,20 @@
         for term in (1, 2, 3):
             self.save(storage, HardState(term, "r2"), self.next(term, 3))
             self.save(storage, None, self.next(term, 2))
-        self.save(storage, None, [LogEntry(3, self.top.index, NoOp())])
-        snapshot = Snapshot(self.top.index - 3, 3, GENESIS, b"own")
+        self.save(storage, None, [LogEntry(3, self.last_entry.index, NoOp())])
+        snapshot = Snapshot(self.last_entry.index - 3, 3, GENESIS, b"own")
         storage.compact(snapshot)
         self.save(storage, None, self.next(3, 2))
-        installed = Snapshot(self.top.index + 50, 4, GENESIS, b"leader's")
+        installed = Snapshot(
+            self.last_entry.index + 50, 4, GENESIS, b"leader's"
+        )
         storage.install(installed)
-        self.top = LogEntry(4, installed.index, NoOp())
+        self.last_entry = LogEntry(4, installed.index, NoOp())
         self.save(storage, HardState(4, None), self.next(4, 2))
 
     def next(self, term: int, count: int) -> list[LogEntry]:
-        """Build the entries that follow."""
-        first = self.top.index + 1
+        """Build the next entries."""
+        first = self.last_entry.index + 1
         return [LogEntry(term, first + n, NoOp()) for n in range(count)]
 
     def save(
@@ -212,13 +214,13 @@
         hard_state: HardState | None,
         entries: list[LogEntry],
     ) -> None:
-        """Save, and only then count it as promised."""
+        """Save, and only then record the state as acknowledged."""
         storage.save(hard_state, entries)
         self.hard_state = hard_state or self.hard_state
-        self.top = entries[-1]
+        self.last_entry = entries[-1]
 
     def check(self) -> None:
-        """Find after a restart all that was promised, or more."""
+        """Check that a restart finds all that was acknowledged, or more."""
         storage = Storage(self._disk)  # type: ignore[arg-type]
         identity = storage.identity()
         assert self.identity in (None, identity)
@@ -229,16 +231,18 @@
         last = (stored.snapshot.term, stored.snapshot.index)
         if stored.entries:
             last = (stored.entries[-1].term, stored.entries[-1].index)
-        assert last >= (self.top.term, self.top.index)
+        assert last >= (self.last_entry.term, self.last_entry.index)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_power_cut_at_every_operation_keeps_promises(seed: int) -> None:
+def test_power_cut_at_any_operation_loses_nothing_acknowledged(
+    seed: int,
+) -> None:
     """The power fails at each write, sync, rename and removal in turn.
 
-    The replica told others that it holds entries and how it voted; after
-    the cut the disk keeps what was synced and any part of the rest, and
-    the replica starts with all that it had told.
+    The replica has acknowledged entries and votes. The disk keeps what was
+    synced and any part of the rest, and the replica must start with all
+    that it acknowledged.
     """
     operations = 0
     while True:
@@ -257,11 +261,11 @@
 
 
 def test_failed_save_leaves_nothing_behind() -> None:
-    """A full disk refuses a save half way; room is made and it goes on.
+    """A save fails half way on a full disk; after recovery, saves go on.
 
-    The bytes written before the refusal look like a torn end. Were they
-    left there, the next save would follow them, and the restart after it
-    would find a damaged middle and refuse.
+    The bytes already written look like an incomplete frame. If they were
+    left, the next save would follow them, and the next restart would find
+    damage before the last frame and refuse.
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
@@ -279,11 +283,11 @@
     assert storage.load(GENESIS).entries == ENTRIES
 
 
-def test_unsynced_bytes_of_a_failed_sync_are_not_believed() -> None:
-    """A sync fails; the page cache still shows the bytes, the disk not.
+def test_bytes_of_a_failed_sync_are_not_loaded() -> None:
+    """After a failed sync the page cache holds bytes the disk lacks.
 
-    Loaded as they are shown, they would be acknowledged although a power
-    cut takes them away.
+    If they were loaded, they would be acknowledged although a power cut
+    would lose them.
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
@@ -297,11 +301,11 @@
     assert storage.load(GENESIS).entries == ENTRIES[:2]
 
 
-def test_old_log_is_void_beside_an_installed_snapshot() -> None:
-    """A crash right after an install leaves the log it replaced.
+def test_log_replaced_by_an_installed_snapshot_is_not_loaded() -> None:
+    """A crash right after an install leaves the log that it replaces.
 
-    That log differs from the snapshot at the snapshot's own place, so
-    what follows there does not continue it and must not be loaded.
+    That log has another term at the snapshot's index, so its later entries
+    do not continue the snapshot and must not be loaded.
     """
     disk = FakeDisk(1)
     storage = Storage(disk)  # type: ignore[arg-type]
@@ -319,13 +323,15 @@
 
 
 @pytest.mark.parametrize("operations", range(1, 16))
-def test_interrupted_removal_brings_nothing_old_back(operations: int) -> None:
+def test_interrupted_removal_restores_no_replaced_entry(
+    operations: int,
+) -> None:
     """The power fails while segments before a snapshot are removed.
 
-    An older segment holds an entry that a later one replaced. Were the
-    later one removed first, the replaced entry would stand beside the
-    snapshot after the restart, look like another leader's log, and take
-    all that was saved since with it.
+    An older segment holds an entry that a later segment replaced. If the
+    later one were removed first, the replaced entry would differ from the
+    snapshot's term after the restart; the log would count as another
+    leader's, and all that was saved since would be dropped with it.
     """
     disk = FakeDisk(operations)
     storage = Storage(disk)  # type: ignore[arg-type]
