--- a/packages/daemon/nutmegchute_daemon/events.py
+++ b/packages/daemon/nutmegchute_daemon/events.py
@@ -1,4 +1,4 @@
-"""Number every log event; docs/events.rst is the catalogue."""
+"""Log numbered events as JSON lines; docs/events.rst lists them."""
 
 import enum
 import sys
@@ -10,82 +10,82 @@
 
 from .sinks import LineSink
 
-# By weight, the lightest first.
+# In order of increasing severity.
 LEVELS = ("debug", "info", "warning", "error")
 
 
 class Event(enum.Enum):
-    """Give each event its number and text."""
+    """Enumerate the log events, each with its number and text."""
 
     STARTED = ("NC1001", "daemon started")
     STOPPING = ("NC1002", "daemon stopping")
     STOPPED = ("NC1003", "daemon stopped")
     SETTING_DOUBTFUL = ("NC1005", "setting is likely a mistake")
     LINES_LOST = ("NC1009", "log lines lost")
-    WORK_ABORTED = ("NC1007", "daemon stops with work in flight")
+    WORK_ABORTED = ("NC1007", "work in flight aborted at shutdown")
     WORK_FAILED = ("NC1010", "periodic work failed")
-    DRAIN_REQUESTED = ("NC1006", "operator asked the entry to drain")
-    LEADERSHIP_GAINED = ("NC2001", "replica leads")
-    LEADERSHIP_ENDED = ("NC2002", "replica follows")
+    DRAIN_REQUESTED = ("NC1006", "operator requested a drain")
+    LEADERSHIP_GAINED = ("NC2001", "replica became leader")
+    LEADERSHIP_ENDED = ("NC2002", "replica is no longer leader")
     CHANGE_DECIDED = ("NC2003", "change decided")
     PEER_UNREACHABLE = ("NC2004", "control replica unreachable")
-    PEER_REACHED = ("NC2005", "control replica reached again")
+    PEER_REACHED = ("NC2005", "control replica reachable again")
     GROUP_FORMED = ("NC2006", "control group formed")
     GROUP_JOINED = ("NC2007", "control group joined")
     REPLICAS_CHANGED = ("NC2008", "control replicas changed")
-    STORAGE_FAILED = ("NC2009", "data folder refuses; replica stands still")
+    STORAGE_FAILED = ("NC2009", "data folder unusable; replica suspended")
     STORAGE_RECOVERED = ("NC2010", "data folder usable again")
-    GROUP_DIFFERS = ("NC2011", "replica of another group sent messages")
+    GROUP_DIFFERS = ("NC2011", "message from a replica of another group")
     KEY_REFUSED = ("NC2012", "operator key refused")
     CONFIG_APPLIED = ("NC3001", "configuration in force")
-    CONFIG_UNREACHABLE = ("NC3002", "no control replica answered")
+    CONFIG_UNREACHABLE = ("NC3002", "configuration request failed")
     UPSTREAM_ANNOUNCED = ("NC3003", "upstream announced")
-    LEDGER_UNREACHABLE = ("NC3020", "ledger not reachable")
+    LEDGER_UNREACHABLE = ("NC3020", "ledger unreachable")
     CALL_LOST = ("NC3004", "call ended with unknown outcome")
-    DRAINING = ("NC3005", "entry drains")
-    CALL_FAILED = ("NC3006", "call handler failed")
+    DRAINING = ("NC3005", "entry draining")
+    CALL_FAILED = ("NC3006", "request handler failed")
     CONTROL_LOST = ("NC3012", "control replica does not answer")
     CONTROL_REACHED = ("NC3013", "control replica answers again")
     ENDPOINTS_CHANGED = ("NC3014", "endpoints changed")
-    INSTANCE_GONE = ("NC3015", "instance has left its address")
-    INSTANCE_ANNOUNCED = ("NC2013", "instance announced itself anew")
-    INSTANCE_STOPPED = ("NC2014", "instance left")
-    DRAIN_UNCONFIRMED = ("NC2015", "entries did not confirm a leaving")
-    ENDPOINTS_RESTORED = ("NC2017", "endpoints of before the start recalled")
+    INSTANCE_GONE = ("NC3015", "instance no longer at its address")
+    INSTANCE_ANNOUNCED = ("NC2013", "instance announced or changed state")
+    INSTANCE_STOPPED = ("NC2014", "instance stopped")
+    DRAIN_UNCONFIRMED = ("NC2015", "entries did not confirm a drain")
+    ENDPOINTS_RESTORED = ("NC2017", "saved endpoints restored")
     ENDPOINT_FILE_FAILED = (
         "NC2018",
-        "endpoints could not be kept or recalled",
+        "endpoints could not be saved or restored",
     )
     VOTERS_CHANGED = ("NC2019", "voting replicas changed")
-    LEADERLESS = ("NC2020", "no replica leads")
-    ANNOUNCEMENTS_REFUSED = ("NC2016", "words about endpoints refused")
+    LEADERLESS = ("NC2020", "control group has no leader")
+    ANNOUNCEMENTS_REFUSED = ("NC2016", "endpoint announcements refused")
     CALL_ENDED = ("NC3016", "call ended")
-    SETTINGS_RELOAD = ("NC1008", "settings read again")
-    REPLY_FAILED = ("NC3017", "control's word could not be taken")
-    PAUSED = ("NC3018", "entry stood still")
-    ENDPOINT_CRASHED = ("NC3021", "endpoint ended under a request")
-    QUARANTINE_UNREACHABLE = ("NC3022", "no leader takes reports of crashes")
-    QUARANTINE_APPLIED = ("NC3023", "requests to hold back changed")
+    SETTINGS_RELOAD = ("NC1008", "settings reload")
+    REPLY_FAILED = ("NC3017", "control reply could not be applied")
+    PAUSED = ("NC3018", "process was paused")
+    ENDPOINT_CRASHED = ("NC3021", "endpoint crashed during a request")
+    QUARANTINE_UNREACHABLE = ("NC3022", "no leader accepted the crash reports")
+    QUARANTINE_APPLIED = ("NC3023", "quarantine cases changed")
     EVACUATIONS_APPLIED = ("NC3024", "evacuated availability zones changed")
-    EVACUATION_ORDERED = ("NC2023", "evacuation ordered or taken back")
+    EVACUATION_ORDERED = ("NC2023", "evacuation begun or finished")
     QUARANTINED = ("NC2021", "request quarantined")
     QUARANTINE_LIFTED = ("NC2022", "quarantine lifted")
-    LEASE_EXPIRED = ("NC3010", "no leader confirms the configuration")
-    LEASE_RENEWED = ("NC3011", "a leader confirms the configuration again")
+    LEASE_EXPIRED = ("NC3010", "configuration lease expired")
+    LEASE_RENEWED = ("NC3011", "configuration lease renewed")
 
     @property
     def number(self) -> str:
-        """Give the event's number."""
+        """Return the number, under which the catalogue lists the event."""
         return str(self.value[0])
 
     @property
     def text(self) -> str:
-        """Give the event's text."""
+        """Return the text that the catalogue and the log lines show."""
         return str(self.value[1])
 
 
 class Record:
-    """Hold what is logged until its line is rendered."""
+    """Hold a logged event until its line is rendered."""
 
     __slots__ = ("at", "event", "fields", "level")
 
@@ -95,17 +95,17 @@
         self.event = event
         self.level = level
         self.fields = fields
-        # Seconds of the time of day.
+        # Unix time in seconds.
         self.at = at
 
 
 class Log:
-    """Take records of the level and above, and hand them to a sink."""
+    """Hold the minimum level that is logged and the sink of the lines."""
 
-    __slots__ = ("least", "sink")
+    __slots__ = ("min_level", "sink")
 
     def __init__(self) -> None:
-        self.least = 0
+        self.min_level = 0
         self.sink: LineSink[Record] | None = None
 
 
@@ -113,9 +113,9 @@
 
 
 def configure_logs(level: str, name: str) -> LineSink[Record]:
-    """Send JSON lines of the level and above to standard output."""
-    sink = LineSink(sys.stdout.fileno(), lambda: _renderer(name))
-    _LOG.least = LEVELS.index(level)
+    """Write events of a level and above to standard output as JSON."""
+    sink = LineSink(sys.stdout.fileno(), lambda: _build_renderer(name))
+    _LOG.min_level = LEVELS.index(level)
     _LOG.sink = sink
     return sink
 
@@ -123,20 +123,19 @@
 def log(event: Event, level: str = "info", **fields: Any) -> None:
     """Log one numbered event with its fields.
 
-    The line is rendered later, on another thread: what the fields hold
-    must not change any more.
+    Another thread renders the line later, so values passed as fields must
+    not be modified afterwards.
     """
-    if _LOG.sink is None or LEVELS.index(level) < _LOG.least:
+    if _LOG.sink is None or LEVELS.index(level) < _LOG.min_level:
         return
     _LOG.sink.put(Record(event, level, fields, time.time()))
 
 
-def _renderer(name: str) -> Callable[[Record], str]:
-    """Build what renders lines.
+def _build_renderer(name: str) -> Callable[[Record], str]:
+    """Return the function that renders a record as a line.
 
-    Loading the library takes as long as a fifteenth of a router's start
-    (20 ms of 300 ms of processor); the log's thread does it once the
-    daemon serves.
+    Importing structlog takes 20 ms of the 300 ms of CPU time of a router's
+    start, so the log thread imports it once the daemon serves.
     """
     import structlog
 
