--- a/packages/fakes/nutmegchute_fakes/disks.py
+++ b/packages/fakes/nutmegchute_fakes/disks.py
@@ -1,15 +1,15 @@
-"""Stand in for a disk that forgets what was not synced."""
+"""Simulate a disk that may lose data that was not synced."""
 
 import errno
 from random import Random
 
 
 class PowerCutError(Exception):
-    """End a fake replica in the middle of a disk operation."""
+    """Stop a fake replica during a disk operation."""
 
 
 class FakeFile:
-    """Hold what a file shows and what of it would survive."""
+    """Hold a file's content and the part that survives a crash."""
 
     __slots__ = ("durable", "content")
 
@@ -18,23 +18,24 @@
         self.content = durable
 
     def crash(self, random: Random) -> None:
-        """Keep the synced bytes and any part of those after them."""
+        """Keep the synced bytes and a random part of the rest."""
         rest = self.content[len(self.durable) :]
         if self.content.startswith(self.durable):
             kept = random.randint(0, len(rest))
             torn = bytearray(rest[:kept])
             if torn and random.random() < 0.3:
-                # Pages reach a disk in any order: a hole of zeros.
+                # Pages reach a disk in any order, which can leave zeros.
                 torn[random.randrange(len(torn)) :] = bytes(1)
             self.durable += bytes(torn)
         self.content = self.durable
 
 
 class FakeDisk:
-    """Offer what the daemon's Disk does, in memory.
+    """Implement the daemon's Disk in memory, with faults.
 
-    ``cut_in`` counts operations down to a power cut, which hits before or
-    after the operation; ``full`` refuses every byte, half a write late.
+    ``power_cut_after`` counts operations down to a power cut, which happens
+    before or after the last one. While ``full`` is set, an append writes half
+    of its data and fails.
     """
 
     def __init__(self, seed: int) -> None:
@@ -49,11 +50,11 @@
 
     @property
     def path(self) -> str:
-        """Name the folder, for error messages."""
+        """Name of the folder, for error messages."""
         return "fake"
 
     def names(self) -> list[str]:
-        """List the files, in order."""
+        """Return the names of the files, sorted."""
         return sorted(self._files)
 
     def read(self, name: str) -> bytes:
@@ -61,21 +62,21 @@
         return self._files[name].content
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end; the file is made when it is missing."""
+        """Append to a file, which is created if it is missing."""
         if self.full:
             self._write(name, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, "No space left on device")
         self._run_operation(lambda: self._write(name, data))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size."""
         file = self._files[name]
         self._run_operation(
             lambda: setattr(file, "content", file.content[:size])
         )
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes durable."""
+        """Make a file's content durable."""
         file = self._files[name]
         if self.failing_syncs:
             self.failing_syncs -= 1
@@ -84,7 +85,7 @@
         self._run_operation(lambda: setattr(file, "durable", file.content))
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in place of any file that has it."""
+        """Rename a file, replacing any file with the new name."""
 
         def apply() -> None:
             self._files[new] = self._files.pop(old)
@@ -102,7 +103,7 @@
         self._run_operation(apply)
 
     def sync_folder(self) -> None:
-        """Make the files' names durable."""
+        """Make created, renamed and removed names durable."""
 
         def apply() -> None:
             self._durable_files = dict(self._files)
@@ -111,10 +112,10 @@
         self._run_operation(apply)
 
     def close(self) -> None:
-        """Release nothing."""
+        """Do nothing; there is nothing to release."""
 
     def crash(self) -> None:
-        """Lose what was not synced, in any way a disk may lose it."""
+        """Lose any part of the names and data that were not synced."""
         self._files = dict(
             self._random.choice([self._durable_files, *self._unsynced_folders])
         )
@@ -125,7 +126,7 @@
         self.power_cut_after = None
 
     def wipe(self) -> None:
-        """Lose everything."""
+        """Remove all files, as if the disk was replaced."""
         self._files = {}
         self._durable_files = {}
         self._unsynced_folders = []
@@ -133,7 +134,7 @@
         self.full = False
 
     def damage(self, name: str, offset: int) -> None:
-        """Flip one bit."""
+        """Flip one bit of a file."""
         data = bytearray(self._files[name].content)
         data[offset] ^= 1
         self._files[name].content = bytes(data)
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -1,4 +1,4 @@
-"""Run control replicas and entries on virtual time, with faults."""
+"""Simulate control replicas and entries on virtual time, with faults."""
 
 import heapq
 from collections.abc import Callable
@@ -46,11 +46,11 @@
 
 
 class OracleError(AssertionError):
-    """Say which promise was broken."""
+    """Report a violated guarantee."""
 
 
 class Oracle:
-    """Hold the one linear list of applied entries and accepted changes."""
+    """Record applied entries, leaders and answers, and check them."""
 
     def __init__(self) -> None:
         self.entries: dict[int, LogEntry] = {}
@@ -64,19 +64,19 @@
             raise OracleError(f"two entries at {entry.index}")
 
     def record_leader(self, term: int, identity: str) -> None:
-        """Check that a term has one leader."""
+        """Check that a term has one leader at most."""
         known = self.leaders.setdefault(term, identity)
         if known != identity:
             raise OracleError(f"two leaders in term {term}")
 
     def record_answer(self, answer: Answer) -> None:
-        """Check that a change id is answered the same way always."""
+        """Check that all answers to a change id are the same."""
         known = self.recorded_answers.setdefault(answer.change_id, answer)
         if known != answer:
             raise OracleError(f"two answers to {answer.change_id}")
 
     def replay(self) -> StateMachine:
-        """Apply the one list from the start, and check what was told."""
+        """Apply all entries in order and check the recorded answers."""
         machine = StateMachine()
         for index in sorted(self.entries):
             if index != machine.applied + 1:
@@ -86,7 +86,7 @@
                 continue
             known = self.recorded_answers.get(outcome.change_id, outcome)
             if known != outcome:
-                raise OracleError(f"{outcome.change_id} was told otherwise")
+                raise OracleError(f"{outcome.change_id}: answers differ")
         for change_id, answer in self.recorded_answers.items():
             if answer.index not in self.entries:
                 raise OracleError(f"{change_id} is lost")
@@ -122,17 +122,17 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether the replica believes to lead."""
+        """Whether the replica considers itself the leader."""
         return self.node is not None and self.node.replica.state == LEADER
 
     def start(self) -> None:
-        """Start from what the disk holds."""
+        """Start from the state on the disk."""
         self.up = True
         self.starts += 1
         self._guard(self._load)
 
     def kill(self) -> None:
-        """End at once; what was not synced may be gone."""
+        """Stop at once; data that was not synced may be lost."""
         self.up = False
         self.node = None
         self._proposals = {}
@@ -141,7 +141,7 @@
         self.disk.crash()
 
     def stop(self) -> None:
-        """End as a daemon does that is told to."""
+        """Stop in order, as the daemon does on a signal."""
         if self.node is None:
             self.kill()
             return
@@ -165,11 +165,11 @@
         self._cluster.after(RETIRE_TICK_S, lambda: self._retire(start, since))
 
     def is_running(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is up and not frozen."""
         return self.up and self._cluster.now >= self.frozen_until
 
     def propose(self, command: Any, on_reply: Callable[[Any], None]) -> None:
-        """Propose a command, and call back when it is decided."""
+        """Propose a command; call back with the outcome once applied."""
         if self.node is None:
             raise NotLeaderError(None)
         index, term = self.node.propose(command)
@@ -179,7 +179,7 @@
     def query(
         self, request: FollowRequest, on_reply: Callable[[FollowReply], None]
     ) -> None:
-        """Take an entry's question."""
+        """Handle a follow request of an entry."""
         if self.node is None:
             return
         self._last_query_id += 1
@@ -192,13 +192,13 @@
         self._guard(self._flush)
 
     def in_force(self, index: int) -> bool:
-        """Tell whether this leader says that an index is in force."""
+        """Return whether this leader reports an index as in force."""
         if self.node is None:
             return False
         return self._long_polls.in_force(index, self.node, self._cluster.now)
 
     def receive_from(self, message: Message, sender: "FakeReplica") -> None:
-        """Take a message and its sender, who learns of a lost disk."""
+        """Handle a message; if the identity is outdated, tell the sender."""
         if message.target != self._identity.identity:
             self._cluster.send(
                 self.name, sender.name, lambda: sender.introduce_to(self.name)
@@ -206,7 +206,7 @@
         self.receive(message)
 
     def receive(self, message: Message) -> None:
-        """Take a message from another replica."""
+        """Handle a message from another replica."""
         if self.node is None:
             return
         self.node.replica.receive(message, self._cluster.now)
@@ -215,7 +215,7 @@
     def receive_introduction(
         self, introduction: Introduction, source: "FakeReplica", refer: bool
     ) -> None:
-        """Take another replica's introduction and answer with its own."""
+        """Handle an introduction and reply with this replica's own."""
         if not self.up:
             return
         self._formation.record(introduction)
@@ -232,7 +232,7 @@
     def receive_introduction_reply(
         self, introduction: Introduction, refer: bool
     ) -> None:
-        """Take the answer to an introduction."""
+        """Handle the reply to an introduction."""
         if not self.up:
             return
         self._formation.record(introduction)
@@ -240,7 +240,7 @@
             self._send_introduction(introduction.leader, False)
 
     def replace(self, name: str) -> None:
-        """Take the outsider of a name in, in place of its namesake."""
+        """Replace the member of a name by the replica waiting under it."""
         self._change_group(MembershipChange("replace", name))
 
     def _check_membership(self, start: int) -> None:
@@ -335,7 +335,7 @@
             self._send_introduction(name, True)
 
     def introduce_to(self, name: str) -> None:
-        """Introduce this replica to one that has lost its disk."""
+        """Introduce this replica to one that lost its disk."""
         if self.up:
             self._send_introduction(name, False)
 
@@ -372,7 +372,7 @@
         except PowerCutError:
             self.kill()
         except StorageError:
-            # As the daemon does: stand still, then start from the disk.
+            # As the daemon does: stop, wait, then reload from the disk.
             self.node = None
             self._proposals = {}
             self._queries = {}
@@ -441,7 +441,7 @@
 
 
 class FakeEntry:
-    """Follow the tree as an entry does; check that it never goes back."""
+    """Follow the tree as an entry does; check that it never regresses."""
 
     def __init__(
         self, cluster: "SimulatedCluster", name: str, entries: int
@@ -453,7 +453,7 @@
         self._follow()
 
     def restart(self) -> None:
-        """Forget everything."""
+        """Restart without any state."""
         self.index = 0
         self.lease = TreeLease(self._others)
         self.epoch = getattr(self, "epoch", 0) + 1
@@ -497,9 +497,9 @@
 
 
 class SimulatedCluster:
-    """Hold replicas, entries, a network with faults, and the clock.
+    """Hold replicas, entries, a faulty network and a virtual clock.
 
-    In a ``tended`` one the leader changes the group without an operator.
+    With ``auto_membership`` the leader changes the group by itself.
     """
 
     def __init__(
@@ -528,7 +528,7 @@
             replica.start()
 
     def add(self, seeds: list[str]) -> FakeReplica:
-        """Start a vm more, with an empty disk; it is told some replicas."""
+        """Start another replica with an empty disk and some seeds."""
         number = len(self.replicas)
         name = f"control-{number + 1}"
         replica = FakeReplica(self, name, self._seed + number, seeds)
@@ -537,16 +537,16 @@
         return replica
 
     def at(self, time: float, action: Callable[[], Any]) -> None:
-        """Do something at a time."""
+        """Schedule an action at a time."""
         self._sequence += 1
         heapq.heappush(self._events, (time, self._sequence, action))
 
     def after(self, delay: float, action: Callable[[], Any]) -> None:
-        """Do something after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.now + delay, action)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, and check that what is in force stays so."""
+        """Advance the clock, then check the invariants."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             time, _, action = heapq.heappop(self._events)
@@ -558,7 +558,7 @@
     def run_until(
         self, condition: Callable[[], bool], timeout_s: float
     ) -> bool:
-        """Let time pass until something holds, ``most`` seconds."""
+        """Advance the clock until a condition holds or time is up."""
         end = self.now + timeout_s
         while self.now < end:
             if condition():
@@ -567,7 +567,7 @@
         return condition()
 
     def send(self, source: str, target: str, action: Any) -> None:
-        """Carry something over the network, which may lose or double it."""
+        """Send over the network, which may lose or duplicate it."""
         if (
             source,
             target,
@@ -579,7 +579,7 @@
             self.after(delay, lambda: self._deliver(target, action))
 
     def deliver(self, source: str, message: Message) -> None:
-        """Carry a message between replicas, by identity."""
+        """Send a message to the replica with the target identity."""
         name = message.target.split(".")[0]
         replica = self.replicas.get(name)
         if replica is not None:
@@ -602,7 +602,7 @@
         return found
 
     def heal(self) -> None:
-        """End every fault."""
+        """End all faults and start all replicas."""
         self.partitions = set()
         for replica in self.replicas.values():
             replica.frozen_until = 0.0
@@ -612,7 +612,7 @@
                 replica.start()
 
     def change(self, change: Change) -> None:
-        """Send a change to whoever leads; its answer may get lost."""
+        """Send a change to the leader; its answer may be lost."""
         replica = self.leader()
         if replica is None or not replica.is_running():
             return
@@ -627,7 +627,7 @@
             return
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check that no entry acts on a tree older than one in force."""
         for replica in self.replicas.values():
             node = replica.node
             if (
--- a/tests/test_admissions.py
+++ b/tests/test_admissions.py
@@ -1,4 +1,4 @@
-"""Take control replicas in and leave lost ones out, without an operator."""
+"""Test which control replicas join and leave without an operator."""
 
 from nutmegchute_core.admissions import LEARNER_SILENT_S
 from nutmegchute_core.admissions import next_change
@@ -7,21 +7,21 @@
 
 
 def member(name: str, boot: int = 1, voter: bool = True) -> Member:
-    """Build a replica; each run has another identity."""
+    """Build a replica; each boot has another identity."""
     return Member(f"{name}.{boot}", name, f"{name}:1", voter=voter)
 
 
 THREE = Membership([member("a"), member("b"), member("c")])
 
 
-def test_nothing_to_do() -> None:
-    """Leave a group alone in which all is well, or one is silent."""
+def test_healthy_group_is_unchanged() -> None:
+    """Change nothing while all reply, or one voter is silent."""
     assert next_change(THREE, {}, {"b.1": 0.1, "c.1": 0.1}) is None
     assert next_change(THREE, {}, {"b.1": 0.1, "c.1": 900.0}) is None
 
 
-def test_replica_without_its_disk_takes_its_own_place() -> None:
-    """Replace the identity whose folder is gone, once it is silent."""
+def test_replica_that_lost_its_disk_replaces_itself() -> None:
+    """Replace the identity of a lost disk once it is silent."""
     pending = {"c": member("c", 2)}
     assert next_change(THREE, pending, {"c.1": 0.5}) is None
     wish = next_change(THREE, pending, {"c.1": 1.5})
@@ -29,10 +29,10 @@
     assert wish.apply(THREE, pending).voters == ["a.1", "b.1"]
 
 
-def test_newcomer_is_taken_in_whoever_is_silent() -> None:
-    """Let a replica that no seed list names learn, and not vote yet.
+def test_new_replica_joins_as_learner() -> None:
+    """Admit a replica that no seed list names as a learner.
 
-    It takes the vote of a silent one once it has caught up, not before.
+    Only once it has caught up may it replace a silent voter.
     """
     pending = {"d": member("d")}
     for silent_s in ({"b.1": 0.1, "c.1": 0.1}, {"b.1": 3.0, "c.1": 0.1}):
@@ -43,8 +43,8 @@
         assert after.learners == ["d.1"]
 
 
-def test_silent_learner_is_left_out() -> None:
-    """Send endpoints and routers to no replica that is gone for good."""
+def test_silent_learner_is_removed() -> None:
+    """Remove lost learners: endpoints and routers are sent to members."""
     group = Membership([*THREE.members, member("d", voter=False)])
     assert next_change(group, {}, {"d.1": LEARNER_SILENT_S - 0.1}) is None
     wish = next_change(group, {}, {"d.1": LEARNER_SILENT_S})
@@ -52,11 +52,11 @@
     assert wish.apply(group, {}) == THREE
 
 
-def test_listed_replicas_come_and_go_by_an_operator() -> None:
-    """Take in no new name and leave none out where an operator lists them.
+def test_operator_managed_group_keeps_its_names() -> None:
+    """Add and remove no name where an operator lists the replicas.
 
-    One that was off for long returns under its name, and would find
-    itself a stranger. A lost disk is no such case: it returns by itself.
+    A replica that was off for long must still be a member when it returns.
+    One that lost its disk still replaces its old identity by itself.
     """
     group = Membership([*THREE.members, member("d", voter=False)])
     silent_s = {"d.1": 900.0, "c.1": 1.5}
--- a/tests/test_charts.py
+++ b/tests/test_charts.py
@@ -1,4 +1,4 @@
-"""Hold the state charts to the code that steps through them."""
+"""Test the state charts and their use in the code."""
 
 import ast
 from pathlib import Path
@@ -18,14 +18,14 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_every_state_is_reachable(name: str) -> None:
-    """Reach each state, and nothing that is not a state."""
+    """All states are reachable, and all targets are states."""
     chart = load_chart(name)
     assert sorted(reachable(chart, chart.initial)) == sorted(chart.states)
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_an_end_stays_in_reach(name: str) -> None:
-    """Where a chart has final states, let every state lead to one."""
+def test_every_state_leads_to_a_final_one(name: str) -> None:
+    """If a chart has final states, every state leads to one."""
     chart = load_chart(name)
     finals = {state for state in chart.states if chart.is_final(state)}
     if not finals:
@@ -35,15 +35,15 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_events_not_drawn_are_refused(name: str) -> None:
-    """Refuse an event that the present state does not take."""
+def test_unknown_event_is_rejected(name: str) -> None:
+    """Reject an event without a transition in the current state."""
     chart = load_chart(name)
     with pytest.raises(ChartError):
         chart.step(chart.initial, "no such event")
 
 
-def test_charts_and_code_know_the_same_events() -> None:
-    """Step by every event that is drawn, and by none besides."""
+def test_charts_and_code_use_the_same_events() -> None:
+    """The code uses all events of the charts, and no others."""
     drawn: set[str] = set()
     for name in NAMES:
         for events in load_chart(name).states.values():
@@ -54,12 +54,12 @@
 
 
 def test_page_is_up_to_date() -> None:
-    """Draw the same page again from the files."""
+    """The page matches what is rendered from the charts."""
     assert PAGE.read_text() == render(NAMES)
 
 
 def _events_in_code() -> tuple[set[str], set[str]]:
-    """Return the literal arguments of steps, and all other strings."""
+    """Return the literal events passed to ``step``, and all strings."""
     stepped: set[str] = set()
     strings: set[str] = set()
     for path in Path(nutmegchute_core.__file__).parent.glob("*.py"):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""Test that a snapshot stands for everything applied before it."""
+"""Test snapshots of the replicated state machine."""
 
 import msgspec
 from nutmegchute_core.commands import Command
@@ -25,10 +25,10 @@
 
 
 def test_restored_machine_is_the_same() -> None:
-    """A replica starts from a snapshot and must answer as before.
+    """A replica that starts from a snapshot answers as before.
 
-    Change ids, conflicts, refusals, changes of replicas and the entries
-    that hold leases are all asked for after a restart.
+    The snapshot must keep change ids, conflicts, refusals, membership
+    changes and enrolled entries.
     """
     machine = StateMachine()
     for index, command in enumerate(COMMANDS, 1):
@@ -49,8 +49,8 @@
     assert (again.outcome, again.index) == ("accepted", 1)
 
 
-def test_snapshot_is_not_changed_by_what_follows() -> None:
-    """A snapshot on its way to a disk keeps the state it was taken of."""
+def test_snapshot_is_unaffected_by_later_changes() -> None:
+    """A snapshot that is being written keeps the state it captured."""
     machine = StateMachine()
     machine.apply(LogEntry(1, 1, COMMANDS[0]))
     state = machine.snapshot()
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -1,4 +1,4 @@
-"""Replace control replicas by others, then lose a disk and all power."""
+"""Test replaced control replicas, followed by lost disks and power."""
 
 import os
 from collections.abc import Callable
@@ -13,25 +13,25 @@
 from support import rule
 from support import team
 
-# A replica may be needed four seconds after its vm is back; loading the
+# A replica has to be ready four seconds after its vm is back; loading the
 # program takes one of them.
 CATCH_UP_S = 3.0
 DOWN_S = 0.6
-# A vm is back while the others elect, and it meets them in the election.
+# The vm is back while the others hold an election.
 VM_BACK_S = 0.51
-# Routers wait without a configuration until a replica leads.
+# Routers have no configuration until a leader is elected.
 RECOVERY_S = 5.0
 
 
 class Operator:
-    """Change one branch again and again, and know what was accepted."""
+    """Change one branch repeatedly and count the accepted changes."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.accepted = 0
 
     def change(self) -> FakeReplica:
-        """Have a change accepted; return the replica that said so."""
+        """Get a change accepted; return the leader that accepted it."""
         cluster = self._cluster
         base = self.accepted
         change = Change(
@@ -43,14 +43,14 @@
         )
         leader = cluster.leader()
 
-        def told() -> bool:
+        def is_answered() -> bool:
             nonlocal leader
             if change.change_id not in cluster.oracle.recorded_answers:
                 leader = cluster.leader()
                 cluster.change(change)
             return change.change_id in cluster.oracle.recorded_answers
 
-        assert cluster.run_until(told, 10.0)
+        assert cluster.run_until(is_answered, 10.0)
         assert (
             cluster.oracle.recorded_answers[change.change_id].outcome
             == ACCEPTED
@@ -61,7 +61,7 @@
 
 
 def is_ready(cluster: SimulatedCluster) -> bool:
-    """Tell whether a leader knows all that was committed."""
+    """Return whether the leader has committed an entry of its term."""
     leader = cluster.leader()
     if leader is None or leader.node is None:
         return False
@@ -73,7 +73,7 @@
     lost: list[FakeReplica],
     removed: list[FakeReplica],
 ) -> None:
-    """Lose all power and some disks; all but those gone return."""
+    """Lose all power and some disks; restart all but those removed."""
     for replica in cluster.replicas.values():
         replica.kill()
     for replica in lost:
@@ -85,7 +85,7 @@
 
 
 def check_recovered(cluster: SimulatedCluster, accepted: int) -> None:
-    """Find a leader soon that knows every accepted change."""
+    """Check that a leader with every accepted change is elected in time."""
     assert cluster.run_until(lambda: is_ready(cluster), RECOVERY_S), (
         "none leads"
     )
@@ -99,22 +99,13 @@
 @pytest.mark.parametrize("after_s", [0.5, 4.0, 8.0, 13.0])
 @pytest.mark.parametrize("seed", range(4))
 def test_replaced_replica_does_not_count(seed: int, after_s: float) -> None:
-    """A replica is replaced by another, then a disk and all power are lost.
+    """A stopped replica that was replaced must not remain a voter.
 
-    Callers see every request refused for ever, and operators cannot read
-    the configuration. The newcomer is taken in while the one that it
-    replaces still runs, and this one then stops for good; it went on
-    counting, so of four voters one was gone, one had lost what it knew, and
-    two are no majority::
-
-        20.86 NC2008 detail "add core-gujranwala-2"
-        23.95 NC1002 daemon stopping (core-gujranwala-1)
-        40.24 NC2004 replica "core-gujranwala-1" (core-faisalabad-1)
-
-    A day like it, with the voters logged::
-
-         4.98 NC2019 voters 4, majority 3 (core-lahore-2 taken in)
-        44.32 NC2020 granted core-faisalabad-2, core-gujranwala-1
+    The new replica joins while the old one still runs, and the old one then
+    stops for good, but remained a voter. When a disk and all power were lost,
+    one of four voters was gone, one had lost its log, and two are no
+    majority: callers saw every request refused for ever, and operators could
+    not read the configuration.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -132,15 +123,11 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_replaced_replica_does_not_count_under_new_leaders(seed: int) -> None:
-    """Leaders change before a replaced replica has been silent for long.
-
-    The caller sees what the test above tells. Each new leader begins to
-    count the silence anew, so the replaced replica still voted 22 seconds
-    after it had stopped::
+    """The leader changes before a replaced replica counts as silent.
 
-         9.77 NC1003 daemon stopped (core-faisalabad-1)
-        23.43 NC2001 term 3 (core-faisalabad-2, after a loss of power)
-        33.64 NC2004 replica "core-faisalabad-1" (core-lahore-1)
+    Each new leader measures the silence from its own election on, so a
+    replaced replica was still a voter 22 seconds after it had stopped. A lost
+    disk and a power loss then have the effect described above.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -161,7 +148,7 @@
 
 
 def member_names(cluster: SimulatedCluster) -> set[str]:
-    """Name the members that the leader knows."""
+    """Return the names of the members, as the leader knows them."""
     leader = cluster.leader()
     if leader is None or leader.node is None:
         return set()
@@ -169,12 +156,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_newcomer_is_told_of_one_follower_only(seed: int) -> None:
-    """A newcomer's settings name a replica that does not lead.
+def test_new_replica_joins_through_a_follower(seed: int) -> None:
+    """The settings of a new replica list a single follower.
 
-    It introduces itself there, and the leader, which alone takes members
-    in, never hears of it; the replica that it replaces is lost without a
-    successor.
+    Only the leader admits members. If the follower did not refer the new
+    replica to the leader, it would never join, and the group would lose the
+    replica to be replaced without getting another.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -189,12 +176,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_left_out_replica_comes_back(seed: int) -> None:
-    """A replica is away so long that the group goes on without it.
+def test_removed_replica_rejoins(seed: int) -> None:
+    """A replica that was removed while it was down rejoins the group.
 
-    Its own log still says that it votes, so it waits for heartbeats that
-    nobody sends, and counts for nobody. A lost disk later finds the group
-    one replica short.
+    Its own log still lists it as a voter, so it would wait for heartbeats
+    that nobody sends, and the group would have one replica too few when a
+    disk is lost later.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -211,12 +198,12 @@
     )
 
 
-def test_order_to_take_over_gets_lost() -> None:
-    """A leader that is replaced stops, and nobody hears its order to lead.
+def test_lost_leadership_transfer_is_repeated() -> None:
+    """A leader that is replaced stops, and its transfer message is lost.
 
-    It went down as leader. The others noticed that after an election's
-    silence, and then counted the silence of a replica that had said that
-    it goes: a disk lost in these three seconds left no majority for ever.
+    If it stopped as the leader, the others would notice after an election
+    timeout and then wait until it counts as silent, although it had announced
+    its stop: a disk lost in these three seconds left no majority for ever.
     """
     cluster = SimulatedCluster(3, entries=0, seed=1, auto_membership=True)
     cluster.loss = 0.0
@@ -238,13 +225,13 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 8, 12])
-def test_leader_without_its_disk_finds_its_successor(seed: int) -> None:
-    """A leader loses its disk, and all that its settings list are gone.
+def test_leader_that_lost_its_disk_finds_the_group(seed: int) -> None:
+    """A leader loses its disk, and the others in its settings are gone.
 
-    It is back while the others elect: whoever asks it for a vote sees that
-    it has no group, introduces itself, and knows of no leader yet. Told of
-    the group and of nobody in it, it would wait for ever, and the next
-    loss would stop all changes.
+    It is back while the others hold an election: a candidate that requests
+    its vote finds that it has lost its identity and introduces itself, but
+    knows no leader yet. Without the address of any member, the replica would
+    wait for ever, and the next loss would stop all changes.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -282,7 +269,7 @@
 
 
 class FaultSequence:
-    """Take replicas away and bring others, as many at once as are borne."""
+    """Inject random faults, as many at once as the group tolerates."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
@@ -294,7 +281,7 @@
         self._max_failures = size // 2
 
     def run(self, steps: int) -> None:
-        """Do things by chance; whoever returned is given time."""
+        """Run random actions, with time to catch up after each."""
         assert self.cluster.run_until(lambda: is_ready(self.cluster), 5.0)
         actions: list[Callable[[], None]] = [
             self.replace_planned,
@@ -304,8 +291,8 @@
             self.roll,
             self.freeze,
             self.isolate,
-            self.leave_behind,
-            self.restart_behind_a_cut,
+            self.lose_disk_with_recent_changes,
+            self.restart_partitioned,
         ]
         for _ in range(steps):
             self.random.choice(actions)()
@@ -313,7 +300,7 @@
             self.operator.change()
 
     def present(self) -> list[FakeReplica]:
-        """List the replicas that are not gone for good."""
+        """Return the replicas that are not gone for good."""
         found = []
         for replica in self.cluster.replicas.values():
             if replica not in self.removed:
@@ -321,17 +308,17 @@
         return found
 
     def pick_failing(self) -> list[FakeReplica]:
-        """Choose replicas that may be lost at the same time."""
+        """Pick replicas that may fail at the same time."""
         count = self.random.randint(1, self._max_failures)
         return self.random.sample(self.present(), count)
 
     def add(self) -> None:
-        """Start a vm with an empty disk that is told some members."""
+        """Start a replica with an empty disk and some members as seeds."""
         names = [one.name for one in self.present()]
         self.cluster.add(self.random.sample(names, min(3, len(names))))
 
     def replace_planned(self) -> None:
-        """Start other vms first, then stop those that they replace."""
+        """Start new replicas first, then stop those that they replace."""
         failing = self.pick_failing()
         for _ in failing:
             self.add()
@@ -341,7 +328,7 @@
         self.removed += failing
 
     def replace_lost(self) -> None:
-        """Lose vms for good; others come later."""
+        """Lose replicas for good and start new ones later."""
         failing = self.pick_failing()
         for replica in failing:
             replica.kill()
@@ -351,7 +338,7 @@
             self.add()
 
     def lose_disks(self) -> None:
-        """Lose disks with all that is on them."""
+        """Lose disks; the replicas restart with empty ones."""
         failing = self.pick_failing()
         for replica in failing:
             replica.kill()
@@ -361,7 +348,7 @@
             replica.start()
 
     def restart(self) -> None:
-        """Stop replicas, or kill them, and start them again."""
+        """Stop or kill replicas and start them again."""
         failing = self.pick_failing()
         planned = self.random.random() < 0.5
         for replica in failing:
@@ -376,7 +363,7 @@
             replica.start()
 
     def roll(self) -> None:
-        """Stop and start all in turn, without time between."""
+        """Restart all replicas in turn, without a pause."""
         for replica in self.present():
             replica.stop()
             self.cluster.run(1.5)
@@ -385,19 +372,19 @@
             replica.start()
 
     def freeze(self) -> None:
-        """Let replicas stand still and wake again."""
+        """Freeze replicas for six seconds."""
         for replica in self.pick_failing():
             replica.frozen_until = self.cluster.now + 6.0
         self.cluster.run(6.0)
 
     def isolate(self) -> None:
-        """Cut replicas off from all others and join them again."""
+        """Partition replicas from all others for a while."""
         self.cut(self.pick_failing())
         self.cluster.run(self.random.choice([2.0, 9.0]))
         self.cluster.partitions = set()
 
-    def leave_behind(self) -> None:
-        """Lose a disk where changes are known, and join who missed them."""
+    def lose_disk_with_recent_changes(self) -> None:
+        """Lose a disk with recent changes while others have missed them."""
         cut_off = self.pick_failing()
         self.cut(cut_off)
         self.cluster.run(self.random.choice([2.0, 6.0]))
@@ -411,8 +398,8 @@
         for replica in others:
             replica.start()
 
-    def restart_behind_a_cut(self) -> None:
-        """Restart replicas that are cut off, and later all others."""
+    def restart_partitioned(self) -> None:
+        """Restart partitioned replicas, and later all others."""
         cut_off = self.pick_failing()
         self.cut(cut_off)
         self.cluster.run(self.random.choice([2.0, 7.0]))
@@ -427,7 +414,7 @@
                 replica.start()
 
     def cut(self, replicas: list[FakeReplica]) -> None:
-        """Cut replicas off from all others, and from one another."""
+        """Partition replicas from all others and from one another."""
         for replica in replicas:
             for other in self.cluster.replicas:
                 self.cluster.partitions.add((replica.name, other))
@@ -436,13 +423,13 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SEEDS", "12"))))
-def test_no_series_leaves_a_group_short(seed: int, size: int) -> None:
-    """Replacements, restarts, cuts and lost disks follow one another.
+def test_group_recovers_after_fault_sequence(seed: int, size: int) -> None:
+    """Replacements, restarts, partitions and lost disks follow one another.
 
-    At no moment more replicas are lost than the group has to bear, and
-    whoever returns has four seconds. Then as many disks as it has to bear
-    and all power are lost: callers must be served again, by a group that
-    knows every accepted change.
+    No more replicas fail at once than the group has to tolerate, and each one
+    that returns has four seconds to catch up. Finally as many disks as the
+    group tolerates and all power are lost: a leader with every accepted
+    change must be elected.
     """
     sequence = FaultSequence(size, seed)
     sequence.run(8)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Test agreement on virtual time, with lost, late and doubled messages."""
+"""Test Raft on virtual time with lost, late and duplicate messages."""
 
 import pytest
 from nutmegchute_core.commands import NoOp
@@ -42,7 +42,7 @@
 def wait_until_ready(
     cluster: SimulatedCluster, timeout_s: float = 20.0
 ) -> None:
-    """Wait until a leader has committed in its own term."""
+    """Wait until a leader has committed an entry of its own term."""
     assert cluster.run_until(lambda: _ready(cluster), timeout_s)
 
 
@@ -56,18 +56,18 @@
 def accept(cluster: SimulatedCluster, change_id: str, base: int) -> None:
     """Send a change until it is accepted."""
 
-    def told() -> bool:
+    def is_answered() -> bool:
         if change_id not in cluster.oracle.recorded_answers:
             cluster.change(change(change_id, base))
         return change_id in cluster.oracle.recorded_answers
 
-    assert cluster.run_until(told, 20.0)
+    assert cluster.run_until(is_answered, 20.0)
     assert cluster.oracle.recorded_answers[change_id].outcome == ACCEPTED
 
 
 @pytest.mark.parametrize("size", [1, 3, 5])
 def test_group_forms_and_accepts(size: int) -> None:
-    """Replicas with empty disks form one group and accept a change."""
+    """Form one group from replicas with empty disks; accept a change."""
     cluster = SimulatedCluster(size, entries=2, seed=size)
     wait_until_ready(cluster)
     accept(cluster, "a", 0)
@@ -75,12 +75,12 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_one_leads_at_once_after_all_were_killed(seed: int) -> None:
-    """Have a leader within a quarter of a second of a common start.
+def test_leader_is_elected_soon_after_a_common_start(seed: int) -> None:
+    """Elect a leader within 0.25 s after all replicas start at once.
 
-    All replicas are killed at one moment and start again. Entries refuse
-    every call until one leads; waiting as if for a lost leader kept them
-    without a configuration for a third of a second longer.
+    After a power loss entries refuse every call until a replica leads. With
+    the full election timeout they were without a configuration for a third
+    of a second longer.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed)
     wait_until_ready(cluster)
@@ -92,11 +92,11 @@
     wait_until_ready(cluster, 0.25)
 
 
-def test_cut_leader_gives_up_and_the_rest_goes_on() -> None:
-    """A silent cut of the leader loses no accepted change.
+def test_partitioned_leader_steps_down() -> None:
+    """No accepted change is lost when the leader is partitioned.
 
-    The operator sees the change accepted by the new leader: the old one
-    is cut off, steps down without a quorum, and the others elect.
+    The old leader steps down without a quorum, the others elect a new one,
+    which accepts the change, and the old one gets it once it is back.
     """
     cluster = SimulatedCluster(3, entries=2, seed=1)
     wait_until_ready(cluster)
@@ -114,10 +114,10 @@
 
 
 def test_returning_replica_does_not_depose_the_leader() -> None:
-    """A replica that heard nobody for long asks before it raises the term.
+    """A replica that was isolated for long sends a pre-vote first.
 
-    Without the question its higher term would end the reign of a leader
-    that all others hear, and every operator would wait for an election.
+    Without it, the replica's higher term would depose a leader that works,
+    and operators would have to wait for an election.
     """
     cluster = SimulatedCluster(3, entries=0, seed=2)
     cluster.loss = 0.0
@@ -136,10 +136,10 @@
     assert leader.node.replica.term == term
 
 
-def test_half_cut_replica_does_not_depose_the_leader() -> None:
-    """A replica hears the others, but not the leader, for long.
+def test_one_way_partition_does_not_depose_the_leader() -> None:
+    """A replica receives from the others, but not from the leader.
 
-    The others hear the leader all the while and give it no vote.
+    The others stay in contact with the leader and deny the pre-vote.
     """
     cluster = SimulatedCluster(3, entries=0, seed=3)
     cluster.loss = 0.0
@@ -155,11 +155,11 @@
     assert leader.node.replica.term == term
 
 
-def test_stopping_leader_hands_over_at_once() -> None:
-    """A planned restart of the leader must not cost an election's silence.
+def test_stopping_leader_transfers_leadership_at_once() -> None:
+    """A planned restart of the leader costs no election timeout.
 
-    The follower that has come furthest stands at once, and the others
-    vote for it although they heard the old leader a moment ago.
+    The most up-to-date follower starts an election at once, and the others
+    vote for it although they were just in contact with the old leader.
     """
     cluster = SimulatedCluster(3, entries=0, seed=7)
     cluster.loss = 0.0
@@ -175,8 +175,8 @@
     assert not old.is_leader
 
 
-def test_late_hand_over_deposes_nobody() -> None:
-    """The order to take over arrives a term too late and is ignored."""
+def test_transfer_of_an_earlier_term_is_ignored() -> None:
+    """A leadership transfer that arrives in a later term has no effect."""
     cluster = SimulatedCluster(3, entries=0, seed=8)
     cluster.loss = 0.0
     wait_until_ready(cluster)
@@ -195,11 +195,11 @@
     assert leader.node.replica.term == term
 
 
-def test_woken_leader_gives_no_current_answer() -> None:
-    """A leader freezes, is replaced, wakes, and is asked at once.
+def test_deposed_leader_answers_no_read_as_current() -> None:
+    """A leader freezes, is replaced, and resumes when a query is waiting.
 
-    It believes to lead until it hears otherwise. A restarted entry that
-    took its answer would act on a tree older than the one in force.
+    It considers itself the leader until it receives a message. With its
+    answer a restarted entry would act on a tree older than the one in force.
     """
     cluster = SimulatedCluster(3, entries=1, seed=4)
     wait_until_ready(cluster)
@@ -221,10 +221,10 @@
 def test_silent_entry_delays_in_force_until_its_lease_ends(
     leader_dies: bool,
 ) -> None:
-    """An entry with a lease falls silent; a change is accepted.
+    """A change is accepted while an entry with a lease is cut off.
 
-    "In force" may not be said before the lease has ended, also not by a
-    new leader, which has never heard of that entry but through the log.
+    The change may not be reported as in force before the lease has ended,
+    not even by a new leader, which knows the entry from the log only.
     """
     cluster = SimulatedCluster(3, entries=2, seed=5)
     wait_until_ready(cluster)
@@ -250,11 +250,11 @@
     assert not silent.lease.has_lease(cluster.now)
 
 
-def test_new_entry_is_known_before_its_first_tree() -> None:
-    """A new entry reaches only a leader that was just cut off.
+def test_entry_gets_no_tree_before_it_is_enrolled() -> None:
+    """A new entry can reach only a leader that was just partitioned.
 
-    Given a tree and a lease there, it would act on them while a leader
-    that has never heard of it says that a newer tree is in force.
+    With a tree and a lease from it, the entry would act on them while a new
+    leader, which does not know the entry, reports a newer tree as in force.
     """
     cluster = SimulatedCluster(3, entries=1, seed=6)
     wait_until_ready(cluster)
@@ -277,7 +277,7 @@
 
 
 def elect(entries: list[LogEntry]) -> Replica:
-    """Make "r1" the leader of term 4 by the votes of "r2"."""
+    """Make "r1" the leader of term 4 with the votes of "r2"."""
     log = Log(Snapshot(membership=MEMBERS), entries)
     replica = Replica("r1", HardState(3, None), log, 0.0, 1)
     replica.tick(5.0)
@@ -289,16 +289,16 @@
 
 
 def match(replica: Replica, index: int) -> None:
-    """Let "r2" say that its log agrees up to an index."""
+    """Send a reply of "r2" that its log matches up to an index."""
     reply = AppendReply("r2", "r1", replica.term, 1, True, index)
     replica.receive(reply, 5.0)
 
 
 def test_entry_of_an_earlier_term_is_not_committed_by_count() -> None:
-    """A majority holds an entry of term 2, and it may still be lost.
+    """An entry of term 2 may still be lost although a majority holds it.
 
-    A third replica with an entry of term 3 could win the next election
-    and overwrite it. Only once one of this term stands on it is it safe.
+    A third replica with an entry of term 3 could win the next election and
+    overwrite it. It is safe once a later entry of this term is replicated.
     """
     replica = elect([LogEntry(2, 1, NoOp())])
     match(replica, 1)
@@ -308,26 +308,26 @@
 
 
 class NoStore:
-    """Keep nothing."""
+    """Store nothing."""
 
     def save(
         self, hard_state: HardState | None, entries: list[LogEntry]
     ) -> None:
-        """Keep nothing."""
+        """Store nothing."""
 
     def install(self, snapshot: Snapshot) -> None:
-        """Keep nothing."""
+        """Store nothing."""
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Keep nothing."""
+        """Store nothing."""
 
 
-def test_new_leader_answers_nothing_before_its_term_commits() -> None:
-    """A new leader holds a committed change that it cannot know to be so.
+def test_new_leader_answers_reads_once_its_term_commits() -> None:
+    """A new leader does not know yet that an entry in its log is committed.
 
-    Its predecessor said that the change is in force and died. A quorum
-    confirms the new leader, and its machine still lacks the change: an
-    answer now would give a restarted entry the older tree.
+    Its predecessor reported the change as in force and died. A quorum
+    confirms the new leader, but its state machine still lacks the change:
+    an answer now would give a restarted entry the older tree.
     """
     entries = [LogEntry(1, 1, Enroll("e")), LogEntry(2, 2, change("a", 0))]
     stored = StoredState(
@@ -358,7 +358,7 @@
 
 
 def test_message_for_a_lost_identity_is_ignored() -> None:
-    """A vote asked of the identity that forgot is not given by the new."""
+    """A vote request for a lost identity gets no reply from the new one."""
     log = Log(Snapshot(membership=MEMBERS), [])
     replica = Replica("r1", HardState(), log, 0.0, 1)
     replica.receive(VoteRequest("r2", "r1.lost", 1, 0, 0, False), 9.0)
@@ -368,10 +368,10 @@
 
 
 def test_one_voter_changes_at_a_time() -> None:
-    """Two changes at once could leave two majorities without a common one.
+    """Two changes at once could lead to disjoint majorities.
 
-    Refused are: any change before the leader's term has committed, a
-    second one before the first has, and one of two voters at once.
+    Rejected are: any change before the leader's term has committed, a second
+    one before the first has committed, and a change of two voters.
     """
     replica = elect([])
     smaller = Reconfigure(MEMBERS.without("r3"), "ana", "")
@@ -386,8 +386,8 @@
         replica.reconfigure(smaller, 5.0)
 
 
-def test_doubled_piece_of_a_snapshot_changes_nothing() -> None:
-    """The network doubles a piece; the snapshot must come out whole."""
+def test_duplicate_snapshot_chunk_is_ignored() -> None:
+    """The network duplicates chunks; the snapshot stays intact."""
     state = b"0123456789"
     log = Log(Snapshot(membership=MEMBERS), [])
     replica = Replica("r1", HardState(), log, 0.0, 1)
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -1,4 +1,4 @@
-"""Let the right replicas vote while others come, stop and fall silent."""
+"""Test which replicas vote as others join, stop or are lost."""
 
 from nutmegchute_core.memberships import Member
 from nutmegchute_core.memberships import Membership
@@ -19,7 +19,7 @@
     caught_up: str = "",
     leaving: str = "",
 ) -> list[str]:
-    """Change voters until nothing is due; list them after each step."""
+    """Apply changes until none is due; return the voters after each."""
     silent_s = dict.fromkeys(silent, VOTER_TIMEOUT_S)
     steps: list[str] = []
     while len(steps) < 9:
@@ -34,47 +34,46 @@
 
 
 def test_three_stay_three() -> None:
-    """Change nothing while all are there, or one is silent."""
+    """Keep three voters, also when one of them is silent."""
     assert apply_changes(group("abc")) == []
     assert apply_changes(group("abc"), silent="b") == []
 
 
-def test_newcomer_only_learns() -> None:
-    """Keep the fourth from voting: four bear no more than three."""
+def test_fourth_replica_stays_learner() -> None:
+    """Four voters tolerate no more losses than three."""
     assert apply_changes(group("abc", "d"), caught_up="d") == []
 
 
-def test_newcomer_takes_the_vote_of_a_lost_one() -> None:
-    """Exchange the votes, the lost one's first.
+def test_learner_replaces_a_silent_voter() -> None:
+    """Demote the silent voter before the learner is promoted.
 
-    Were the newcomer lost as well in between, the two that are left are
-    all that is needed.
+    If the learner is lost in between, the two other voters are a majority.
     """
     steps = apply_changes(group("abc", "d"), silent="b", caught_up="d")
     assert steps == ["ac", "acd"]
     assert apply_changes(group("abc", "d"), silent="b") == []
 
 
-def test_newcomer_takes_the_vote_of_one_that_stops() -> None:
-    """Exchange the votes, the newcomer's first: the old one still works."""
+def test_learner_replaces_a_leaving_voter() -> None:
+    """Promote the learner first, as the leaving voter still works."""
     steps = apply_changes(group("abc", "d"), caught_up="d", leaving="a")
     assert steps == ["abcd", "bcd"]
     assert apply_changes(group("abc"), leaving="a") == []
 
 
-def test_two_newcomers_vote() -> None:
-    """Let a group grow by two, so that it bears one loss more."""
+def test_two_learners_are_promoted() -> None:
+    """Grow a group by two voters, so that it tolerates one more loss."""
     assert apply_changes(group("abc", "de"), caught_up="de") == [
         "abcd",
         "abcde",
     ]
 
 
-def test_group_shrinks_with_its_losses() -> None:
-    """Leave out who is silent as long as three remain.
+def test_group_shrinks_to_three_voters() -> None:
+    """Demote silent voters as long as three remain.
 
-    Of five voters with two gone for good, one more lost disk leaves no
-    majority; the three that remain bear it.
+    With two of five voters gone for good, one more lost disk leaves no
+    majority; a group of three tolerates it.
     """
     assert apply_changes(group("abcde"), silent="a") == ["bcde"]
     assert apply_changes(group("abcde"), silent="ab") == ["bcde", "cde"]
@@ -82,20 +81,20 @@
 
 
 def test_four_become_three_or_five() -> None:
-    """Leave no group with an even number for longer than need be."""
+    """Keep an even number of voters no longer than necessary."""
     assert apply_changes(group("abcd"), silent="c") == ["abd"]
     assert apply_changes(group("abcd"), leaving="c") == ["abd"]
     assert apply_changes(group("abcd", "e"), caught_up="e") == ["abcde"]
 
 
 def test_two_voters_are_not_made_one() -> None:
-    """Keep two: a single one would decide alone, and lose all alone."""
+    """Keep two voters: with a single one, its disk holds the only copy."""
     assert apply_changes(group("ab"), silent="b") == []
     assert apply_changes(group("ab"), leaving="b") == []
     assert apply_changes(group("ab", "c"), caught_up="c") == ["abc"]
 
 
-def test_returned_replica_votes_again() -> None:
-    """Let one that was only slow take the place that became free."""
+def test_returned_replica_is_promoted_again() -> None:
+    """Promote a demoted replica again if the group needs a voter."""
     assert apply_changes(group("bcde", "a"), caught_up="a") == ["abcde"]
     assert apply_changes(group("acd", "b"), caught_up="b") == []
