--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -27,8 +27,8 @@
 from .servers import LoopRunner
 
 ANNOUNCE_PATH = b"/announce"
-ANNOUNCEMENT_BYTES = 4096
-KEY_BYTES = 256
+MAX_ANNOUNCEMENT_BYTES = 4096
+MAX_KEY_BYTES = 256
 REFRESHES_PER_LEASE = 3
 
 _DECODER = msgspec.json.Decoder(Announcement)
@@ -89,7 +89,7 @@
     def record(
         self, announcement: Announcement, key: str, now: float
     ) -> dict[str, float]:
-        """RecordAnnouncement an endpoint's announcement; return its lease.
+        """Record an endpoint's announcement; return its lease.
 
         :raises AnnouncementError: it is refused
         """
@@ -179,16 +179,16 @@
             raise AnnouncementError(405, "announcements are posted")
         announcement = parse_announcement(_read_body(http))
         name = SERVICE_KEY_HEADER.encode()
-        key = http.inheaders.get(name, b"")[:KEY_BYTES].decode("latin-1")
+        key = http.inheaders.get(name, b"")[:MAX_KEY_BYTES].decode("latin-1")
         return dict(self._runner.run_sync(self._record, announcement, key))
 
 
 def _read_body(http: StrictRequest) -> bytes:
-    body = Body(http, ANNOUNCEMENT_BYTES)
+    body = Body(http, MAX_ANNOUNCEMENT_BYTES)
     pieces = []
     try:
         while not body.whole:
-            pieces.append(body.read(ANNOUNCEMENT_BYTES + 1))
+            pieces.append(body.read(MAX_ANNOUNCEMENT_BYTES + 1))
     except BadBodyError as error:
         raise AnnouncementError(error.status, str(error)) from error
     return b"".join(pieces)
@@ -199,9 +199,9 @@
 
     :raises AnnouncementError: it is malformed; the reason names the field
     """
-    if len(body) > ANNOUNCEMENT_BYTES:
+    if len(body) > MAX_ANNOUNCEMENT_BYTES:
         raise AnnouncementError(
-            413, f"announcement is larger than {ANNOUNCEMENT_BYTES} bytes"
+            413, f"announcement is larger than {MAX_ANNOUNCEMENT_BYTES} bytes"
         )
     try:
         announcement = _DECODER.decode(body)
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -148,7 +148,7 @@
         }
 
     async def finish(self) -> None:
-        """Leave the directory, outlast cached answers, finish the calls."""
+        """Leave the directory, let cached answers expire, finish the calls."""
         self._directory.drain()
         log(Event.DRAINING)
         await self._gossiper.exchange_all()
@@ -193,7 +193,7 @@
 
         def on_answer(answer: ClaimAnswer | None) -> None:
             self._open_claims -= 1
-            if not self._may_send(call, answer):
+            if not self._check_claim(call, answer):
                 return
             left_s = wait_s - (self._loop.time() - started_at)
             self._dispatcher.admit(call, max(0.0, left_s))
@@ -213,7 +213,9 @@
         call.claimed = True
         return rule
 
-    def _may_send(self, call: PendingCall, answer: ClaimAnswer | None) -> bool:
+    def _check_claim(
+        self, call: PendingCall, answer: ClaimAnswer | None
+    ) -> bool:
         if answer is None or answer.outcome in (FULL, NOT_RUN):
             call.put(Refuse(0, "ledger takes no claim", RETRY_S))
             return False
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -1,4 +1,4 @@
-"""Exchange live endpoints and entries with the other entries."""
+"""Exchange live endpoints and entry states with the other entries."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 GOSSIP_S = 1.0
 TICK_S = 0.05
-YIELD_S = 2 * TICK_S
+TIE_BREAK_S = 2 * TICK_S
 TIMEOUT_S = 0.5
 
 
@@ -90,9 +90,9 @@
             if self._settings.grpc_address > address:
                 # Both entries of a pair are due at the same time; without
                 # this delay each would send a request to the other.
-                due_at += YIELD_S
+                due_at += TIE_BREAK_S
             if urgent or now >= due_at:
-                self._start(address, now)
+                self._start_exchange(address, now)
         self.refresh()
 
     def refresh(self) -> None:
@@ -112,7 +112,7 @@
         own = self._settings.grpc_address
         return [one for one in self._settings.entries if one != own]
 
-    def _start(self, address: str, now: float) -> None:
+    def _start_exchange(self, address: str, now: float) -> None:
         self._exchanged_at[address] = now
         task = asyncio.create_task(self._exchange(address))
         self._tasks.add(task)
--- a/packages/daemon/nutmegchute_daemon/methods.py
+++ b/packages/daemon/nutmegchute_daemon/methods.py
@@ -1,6 +1,6 @@
 """Define the gRPC methods that several roles use.
 
-Methods between control replicas only are defined where they are served:
+Methods used only between control replicas are defined where they are served:
 importing their messages would import the whole control state.
 """
 
--- a/packages/daemon/nutmegchute_daemon/quarantines.py
+++ b/packages/daemon/nutmegchute_daemon/quarantines.py
@@ -96,7 +96,7 @@
                 self._on_ruling(report, ruling)
 
     def _requeue(self, batch: list[Report]) -> None:
-        """Queue the batch again but its trial requests, which fail."""
+        """Queue the batch again except its trial requests, which fail."""
         requests = [one for one in batch if isinstance(one, TrialRequest)]
         others = [one for one in batch if not isinstance(one, TrialRequest)]
         self._pending.extendleft(reversed(others))
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -54,7 +54,7 @@
 EXPIRE_S = 0.5
 HEALTH_THREADS = 2
 # If control is up, a router has its configuration 0.1 to 0.2 s after its
-# start; until then, at most for so long, calls are held and not refused.
+# start. Until then, but no longer than this, calls are held and not refused.
 UNCONFIGURED_HOLD_S = 0.6
 UNCONFIGURED_RETRY_S = 0.2
 LEAVING_RETRY_S = 0.1
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -71,7 +71,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task that sends requests."""
+        """Start sending requests."""
         self._task = asyncio.ensure_future(self._run())
 
     def replace_seeds(self, seeds: list[str]) -> None:
@@ -83,12 +83,12 @@
         self._chooser.update(replicas)
 
     def renew(self) -> None:
-        """Replace the held request by a new one that sends a change."""
+        """Cancel the held request and send one with the present state."""
         if self._pending is not None:
             self._pending.cancel()
 
     def stop(self) -> None:
-        """Cancel the task."""
+        """Stop sending requests."""
         if self._task is not None:
             self._task.cancel()
 
@@ -121,16 +121,16 @@
             await asyncio.sleep(self._retry_delay_s())
 
     @property
-    def _is_first(self) -> bool:
+    def _is_starting(self) -> bool:
         return not self._reached and self._failures <= FIRST_TRIES
 
     async def _connect(self, address: str) -> bool:
-        if not self._is_first:
+        if not self._is_starting:
             return True
         return await self._links.open(address, FIRST_TIMEOUT_S)
 
     def _retry_delay_s(self) -> float:
-        if self._is_first:
+        if self._is_starting:
             return FIRST_RETRY_S
         # After the first failure the next replica is tried without delay.
         return min(MAX_RETRY_S, RETRY_S * (self._failures - 1))
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -7,9 +7,9 @@
 import pytest
 from nutmegchute_core.rosters import Roster
 from nutmegchute_core.rules import Service
-from nutmegchute_daemon.announcements import ANNOUNCEMENT_BYTES
 from nutmegchute_daemon.announcements import AnnouncementError
 from nutmegchute_daemon.announcements import Announcements
+from nutmegchute_daemon.announcements import MAX_ANNOUNCEMENT_BYTES
 from nutmegchute_daemon.announcements import parse_announcement
 from support import announcement
 from support import rule
@@ -122,7 +122,7 @@
         (b"[]", 400),
         (b"\xff\xfe", 400),
         (b'{"service": "\xff"}', 400),
-        (b" " * (ANNOUNCEMENT_BYTES + 1), 413),
+        (b" " * (MAX_ANNOUNCEMENT_BYTES + 1), 413),
     ],
 )
 def test_malformed_body_is_refused(body: bytes, status: int) -> None:
