--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -199,7 +199,7 @@
         return self._leadership.last_contact_at(identity)
 
     def in_contact(self, now: float) -> bool:
-        """Return whether a quorum, or the leader, was in contact lately.
+        """Return whether this replica is in contact with a quorum or leader.
 
         Without contact this replica's state may be stale.
         """
@@ -289,10 +289,10 @@
     def retire(self, now: float) -> None:
         """Ask the leader to replace this voter, which is about to stop.
 
-        Otherwise, if another replica lost its disk while this one is down,
-        no majority would be left; if this one never returned, for ever. A
-        leader transfers its leadership instead; callers repeat the call,
-        in case the message is lost.
+        Otherwise the loss of another replica's disk while this one is down
+        would leave no majority, and for ever if this one never returned. A
+        leader transfers its leadership first. Callers repeat the call, since
+        the message may be lost.
         """
         if self._leadership is not None:
             self.transfer_leadership(now)
@@ -485,18 +485,15 @@
             return
         if not request.pre and request.term > self.term:
             self._adopt_term(request.term, now)
-        own_position = (self._log.last_term, self.last_index)
-        log_up_to_date = (
-            request.last_term,
-            request.last_index,
-        ) >= own_position
+        own_last = (self._log.last_term, self.last_index)
+        up_to_date = (request.last_term, request.last_index) >= own_last
         if request.pre:
-            granted = log_up_to_date and request.term > self.term
+            granted = up_to_date and request.term > self.term
             term = request.term if granted else self.term
             self._messages.append(vote_reply(request, term, granted))
             return
         can_vote = self._hard_state.voted_for in (None, request.source)
-        granted = request.term == self.term and log_up_to_date and can_vote
+        granted = request.term == self.term and up_to_date and can_vote
         if granted:
             self._set_hard_state(HardState(self.term, request.source))
             self._reset_election(now)
--- a/tests/test_admissions.py
+++ b/tests/test_admissions.py
@@ -24,9 +24,9 @@
     """Replace the identity of a lost disk once it is silent."""
     pending = {"c": member("c", 2)}
     assert next_change(THREE, pending, {"c.1": 0.5}) is None
-    wish = next_change(THREE, pending, {"c.1": 1.5})
-    assert wish is not None
-    assert wish.apply(THREE, pending).voters == ["a.1", "b.1"]
+    change = next_change(THREE, pending, {"c.1": 1.5})
+    assert change is not None
+    assert change.apply(THREE, pending).voters == ["a.1", "b.1"]
 
 
 def test_new_replica_joins_as_learner() -> None:
@@ -36,9 +36,9 @@
     """
     pending = {"d": member("d")}
     for silent_s in ({"b.1": 0.1, "c.1": 0.1}, {"b.1": 3.0, "c.1": 0.1}):
-        wish = next_change(THREE, pending, silent_s)
-        assert wish is not None
-        after = wish.apply(THREE, pending)
+        change = next_change(THREE, pending, silent_s)
+        assert change is not None
+        after = change.apply(THREE, pending)
         assert after.voters == THREE.voters
         assert after.learners == ["d.1"]
 
@@ -47,9 +47,9 @@
     """Remove lost learners: endpoints and routers are sent to members."""
     group = Membership([*THREE.members, member("d", voter=False)])
     assert next_change(group, {}, {"d.1": LEARNER_SILENT_S - 0.1}) is None
-    wish = next_change(group, {}, {"d.1": LEARNER_SILENT_S})
-    assert wish is not None
-    assert wish.apply(group, {}) == THREE
+    change = next_change(group, {}, {"d.1": LEARNER_SILENT_S})
+    assert change is not None
+    assert change.apply(group, {}) == THREE
 
 
 def test_operator_managed_group_keeps_its_names() -> None:
@@ -63,5 +63,5 @@
     pending = {"e": member("e")}
     assert next_change(group, pending, silent_s, operator_managed=True) is None
     pending["c"] = member("c", 2)
-    wish = next_change(group, pending, silent_s, operator_managed=True)
-    assert wish is not None and wish.name == "c"
+    change = next_change(group, pending, silent_s, operator_managed=True)
+    assert change is not None and change.name == "c"
