--- a/packages/daemon/nutmegchute_daemon/agreements.py
+++ b/packages/daemon/nutmegchute_daemon/consensus.py
@@ -59,7 +59,7 @@
 Spawn = Callable[[Coroutine[None, None, None]], None]
 
 
-class Agreement:
+class Consensus:
     """Replicate one log with the other control replicas.
 
     ``spawn`` runs a coroutine until the daemon stops; ``changed`` is called
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -6,10 +6,10 @@
 from nutmegchute_core.machines import StateMachine
 from nutmegchute_core.replicas import LEADER
 
-from .agreements import Agreement
 from .applications import close_pages
 from .applications import open_pages
 from .applications import start_pages
+from .consensus import Consensus
 from .daemons import Daemon
 from .descriptions import describe_idle
 from .descriptions import describe_member
@@ -52,21 +52,21 @@
         """Open the data folder and mount the pages."""
         settings = self._settings
         try:
-            self._agreement = Agreement(
+            self._consensus = Consensus(
                 settings, self._links, self.spawn, self._changed
             )
         except StorageError as error:
             raise StartError(f"data_folder: {error}") from error
-        self._evacuations = EvacuationServer(self._agreement)
-        self._quarantine = QuarantineServer(self._agreement, self._links)
+        self._evacuations = EvacuationServer(self._consensus)
+        self._quarantine = QuarantineServer(self._consensus, self._links)
         self.registrar = Registrar(
             settings.grpc_address,
-            self._agreement.in_contact,
-            lambda: self._agreement.node,
+            self._consensus.in_contact,
+            lambda: self._consensus.node,
         )
         self._peers = PeerExchange(self._links, self.registrar)
         self._endpoint_file = EndpointFile(
-            self._agreement.storage.disk, self.registrar
+            self._consensus.storage.disk, self.registrar
         )
         self._endpoint_file.load()
         self._http.mount(open_pages(ControlPages(self, self._runner)))
@@ -103,8 +103,8 @@
     def start_tasks(self) -> None:
         """Start the replica, the exchange with peers and periodic work."""
         start_pages()
-        self.spawn(self._agreement.start())
-        self.run_every(MAINTAIN_PERIOD_S, self._agreement.maintain)
+        self.spawn(self._consensus.start())
+        self.run_every(MAINTAIN_PERIOD_S, self._consensus.maintain)
         self._peers.start()
         self.run_every(EXPIRE_S, self._expire)
         self.run_every(SAVE_PERIOD_S, self._endpoint_file.save)
@@ -112,12 +112,12 @@
     def reload(self, settings: Settings) -> None:
         """Apply changed settings, such as the listed replicas."""
         super().reload(settings)
-        self._agreement.reload(settings)
+        self._consensus.reload(settings)
 
     @property
-    def agreement(self) -> Agreement:
+    def consensus(self) -> Consensus:
         """Return the replica that takes part in consensus."""
-        return self._agreement
+        return self._consensus
 
     @property
     def quarantine(self) -> QuarantineServer:
@@ -139,11 +139,11 @@
 
     async def finish(self) -> None:
         """Transfer leadership, give up the vote and redirect the entries."""
-        await self._agreement.stop()
+        await self._consensus.stop()
 
     def gauges(self) -> dict[str, float]:
         """Return the gauges of leadership, commits and entries behind."""
-        node = self._agreement.node
+        node = self._consensus.node
         if node is None:
             return {"leads": 0.0}
         leads = node.replica.state == LEADER
@@ -158,7 +158,7 @@
         }
         if leads:
             index = node.machine.tree.index
-            applied = self._agreement.follows.applied.values()
+            applied = self._consensus.follows.applied.values()
             found["entries_behind"] = sum(one < index for one in applied)
         return found
 
@@ -166,31 +166,31 @@
         """Stop the peer exchange; close the pages and the data folder."""
         self._peers.stop()
         close_pages()
-        self._agreement.close()
+        self._consensus.close()
 
     @property
     def machine(self) -> StateMachine:
         """Return the replicated state as applied by this replica."""
-        node = self._agreement.node
+        node = self._consensus.node
         return node.machine if node is not None else StateMachine()
 
     def status(self) -> dict[str, Any]:
         """Describe this replica and the entries that follow it."""
-        node = self._agreement.node
+        node = self._consensus.node
         if node is None:
-            return describe_idle(self._settings.name, self._agreement.problem)
+            return describe_idle(self._settings.name, self._consensus.problem)
         index = self.machine.tree.index
         return {
             "name": self._settings.name,
             "state": describe_state(node.replica),
-            "leader": self._agreement.leader_name,
+            "leader": self._consensus.leader_name,
             "problem": None,
             "term": node.replica.term,
             "commit": node.replica.commit_index,
             "snapshot": node.replica.log.snapshot.index,
             "index": index,
             "entries": {
-                **self._agreement.follows.applied,
+                **self._consensus.follows.applied,
                 **self.registrar.applied(),
             },
             "enrolled": sorted(self.machine.entries),
@@ -200,7 +200,7 @@
 
     def replicas(self) -> dict[str, Any]:
         """Describe the group's members and the replicas that wait to join."""
-        node = self._agreement.node
+        node = self._consensus.node
         if node is None:
             return {"leader": None, "replicas": [], "waiting": []}
         now = self._loop.time()
@@ -209,18 +209,18 @@
         for member in membership.members:
             rows.append(describe_member(node.replica, member, now))
         return {
-            "leader": self._agreement.leader_name,
+            "leader": self._consensus.leader_name,
             "replicas": rows,
-            "waiting": list(self._agreement.pending_joins().values()),
+            "waiting": list(self._consensus.pending_joins().values()),
         }
 
     def leader_address(self) -> str | None:
         """Return the leader's address for operators, None if unknown."""
-        leader = self._agreement.leader
+        leader = self._consensus.leader
         return leader.http_address if leader is not None else None
 
     def _in_force(self, index: int) -> bool:
-        node = self._agreement.node
+        node = self._consensus.node
         if node is None or self.registrar.has_entry_behind(index):
             return False
-        return self._agreement.follows.in_force(index, node)
+        return self._consensus.follows.in_force(index, node)
--- a/packages/daemon/nutmegchute_daemon/evacuations.py
+++ b/packages/daemon/nutmegchute_daemon/evacuations.py
@@ -3,7 +3,7 @@
 from nutmegchute_core.evacuations import EvacuationOrder
 from nutmegchute_core.evacuations import EvacuationOutcome
 
-from .agreements import Agreement
+from .consensus import Consensus
 from .events import Event
 from .events import log
 
@@ -11,10 +11,10 @@
 class EvacuationServer:
     """Propose evacuation orders to the replicated log."""
 
-    __slots__ = ("_agreement",)
+    __slots__ = ("_consensus",)
 
-    def __init__(self, agreement: Agreement) -> None:
-        self._agreement = agreement
+    def __init__(self, consensus: Consensus) -> None:
+        self._consensus = consensus
 
     async def submit(self, order: EvacuationOrder) -> bool:
         """Propose an order and return whether it changed anything.
@@ -25,7 +25,7 @@
         :raises NotLeaderError: send the order to the leader
         :raises TimeoutError: the outcome is unknown; send the order again
         """
-        outcome = await self._agreement.propose(order)
+        outcome = await self._consensus.propose(order)
         assert isinstance(outcome, EvacuationOutcome)
         log(
             Event.EVACUATION_ORDERED,
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -26,7 +26,7 @@
 from nutmegchute_core.trees import passes_schema
 from nutmegchute_core.trees import Refusal
 
-from .agreements import Agreement
+from .consensus import Consensus
 from .evacuations import EvacuationServer
 from .handlers import as_json
 from .handlers import require_operator
@@ -115,7 +115,7 @@
         """Return the event loop that owns all state."""
 
     @property
-    def agreement(self) -> Agreement:
+    def consensus(self) -> Consensus:
         """Return the replica that takes part in consensus."""
 
     @property
@@ -164,7 +164,7 @@
             # so that its answer and the audit trail record it.
             checked=passes_schema(request.documents),
         )
-        answer = self._run(self._daemon.agreement.change(change), "/changes")
+        answer = self._run(self._daemon.consensus.change(change), "/changes")
         return as_json(answer)
 
     @cherrypy.expose
@@ -183,7 +183,7 @@
             )
         membership_change = MembershipChange(**msgspec.structs.asdict(request))
         membership = self._run(
-            self._daemon.agreement.reconfigure(
+            self._daemon.consensus.reconfigure(
                 membership_change, operator.name
             ),
             "/replicas",
@@ -302,7 +302,7 @@
             detail=detail,
             at_unix_s=time.time(),
         )
-        self._run(self._daemon.agreement.propose(refusal), "/changes")
+        self._run(self._daemon.consensus.propose(refusal), "/changes")
         raise cherrypy.HTTPError(403, detail)
 
     def _run(self, action: Coroutine[Any, Any, Any], path: str) -> Any:
@@ -322,7 +322,7 @@
         address = self._runner.run_sync(self._daemon.leader_address)
         if address is not None:
             raise cherrypy.HTTPRedirect(f"http://{address}{path}", 307)
-        problem = self._runner.run_sync(lambda: self._daemon.agreement.problem)
+        problem = self._runner.run_sync(lambda: self._daemon.consensus.problem)
         reason = problem or "no leader; nothing was done, try again"
         raise cherrypy.HTTPError(503, reason)
 
--- a/packages/daemon/nutmegchute_daemon/peers.py
+++ b/packages/daemon/nutmegchute_daemon/peers.py
@@ -31,7 +31,7 @@
 
     __slots__ = (
         "_confirm_task",
-        "_confirmations",
+        "_confirmation_tasks",
         "_links",
         "_polls",
         "_registrar",
@@ -41,7 +41,7 @@
         self._links = links
         self._registrar = registrar
         self._polls: dict[str, asyncio.Task[None]] = {}
-        self._confirmations: dict[str, asyncio.Task[None]] = {}
+        self._confirmation_tasks: dict[str, asyncio.Task[None]] = {}
         self._confirm_task: asyncio.Task[None] | None = None
         links.serve(WATCH, registrar.handle_watch)
         links.serve(PEER, registrar.handle_peer_request)
@@ -109,19 +109,21 @@
             found = self._registrar.discovery.pending_confirmations(
                 boot_time()
             )
-            for address, seen in found.items():
-                confirmation = self._confirmations.get(address)
-                if confirmation is None or confirmation.done():
-                    self._confirmations[address] = asyncio.ensure_future(
-                        self._send_confirmation(address, seen)
+            for address, confirmation in found.items():
+                running = self._confirmation_tasks.get(address)
+                if running is None or running.done():
+                    self._confirmation_tasks[address] = asyncio.ensure_future(
+                        self._send_confirmation(address, confirmation)
                     )
             await self._registrar.wait_progress(CONFIRM_PERIOD_S)
 
     async def _send_confirmation(
-        self, address: str, seen: Confirmation
+        self, address: str, confirmation: Confirmation
     ) -> None:
         done = await self._links.send_request(
-            address, SEEN, seen, CONFIRMATION_TIMEOUT_S
+            address, SEEN, confirmation, CONFIRMATION_TIMEOUT_S
         )
         if done is not None:
-            self._registrar.discovery.record_acknowledged(address, seen)
+            self._registrar.discovery.record_acknowledged(
+                address, confirmation
+            )
--- a/packages/daemon/nutmegchute_daemon/quarantine_servers.py
+++ b/packages/daemon/nutmegchute_daemon/quarantine_servers.py
@@ -11,8 +11,8 @@
 from nutmegchute_core.quarantines import QuarantineRequest
 from nutmegchute_core.quarantines import Rulings
 
-from .agreements import Agreement
 from .claims import LedgerClock
+from .consensus import Consensus
 from .events import Event
 from .events import log
 from .links import Links
@@ -22,10 +22,10 @@
 class QuarantineServer:
     """Propose entries' reports and operators' orders to the log."""
 
-    __slots__ = ("_agreement", "_clock", "_loop")
+    __slots__ = ("_clock", "_consensus", "_loop")
 
-    def __init__(self, agreement: Agreement, links: Links) -> None:
-        self._agreement = agreement
+    def __init__(self, consensus: Consensus, links: Links) -> None:
+        self._consensus = consensus
         self._clock = LedgerClock()
         self._loop = asyncio.get_running_loop()
         links.serve(REPORT, self._on_report)
@@ -36,7 +36,7 @@
         :raises NotLeaderError: another replica leads, or none
         :raises TimeoutError: the outcome is unknown
         """
-        outcome = await self._agreement.propose(order)
+        outcome = await self._consensus.propose(order)
         assert isinstance(outcome, Lifted)
         if outcome.found:
             log(
@@ -48,15 +48,15 @@
         return outcome.found
 
     async def _on_report(self, request: QuarantineRequest) -> QuarantineReply:
-        agreement = self._agreement
+        consensus = self._consensus
         try:
             elapsed_s = self._clock.elapsed_s(
-                agreement.term, self._loop.time()
+                consensus.term, self._loop.time()
             )
             batch = QuarantineBatch(elapsed_s, request)
-            outcome = await agreement.propose(batch)
+            outcome = await consensus.propose(batch)
         except (NotLeaderError, TimeoutError):
-            leader = agreement.leader
+            leader = consensus.leader
             address = None if leader is None else leader.grpc_address
             return QuarantineReply(address, None)
         assert isinstance(outcome, Rulings)
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -335,8 +335,8 @@
         has not received the drain would send calls to a process that is
         about to exit.
 
-        :raises NotConfirmedError: an entry did not confirm in time, or no
-            majority of the replicas is in contact
+        :raises NotConfirmedError: an entry did not confirm in time, or this
+            replica is not in contact with a majority
         """
         discovery = self._discovery
         generation = discovery.registry.changed_in(process)
