--- a/packages/daemon/nutmegchute_daemon/daemons.py
+++ b/packages/daemon/nutmegchute_daemon/daemons.py
@@ -1,4 +1,4 @@
-"""Share what every role does: start, run until told to stop, stop."""
+"""Start and stop a daemon in the same way for every role."""
 
 import asyncio
 import signal
@@ -14,7 +14,7 @@
 from .metrics import Metrics
 from .periods import repeat
 from .periods import Work
-from .reports import REPORT_S
+from .reports import REPORT_PERIOD_S
 from .reports import Reporter
 from .servers import HttpServer
 from .servers import LoopRunner
@@ -22,15 +22,15 @@
 from .settings import Settings
 
 GRPC_GRACE_S = 0.2
-FLUSH_S = 1.0
-HTTP_SWEEP_S = 0.25
-CUT_S = 0.3
+FLUSH_PERIOD_S = 1.0
+HTTP_SWEEP_PERIOD_S = 0.25
+FINAL_WRITE_S = 0.3
 METRICS_PATH = b"/metrics"
 METRICS_THREADS = 1
 
 
 class Daemon:
-    """Run one role on one loop on one thread."""
+    """Run one role on an event loop in the main thread."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -39,37 +39,37 @@
         self._links = Links()
         self._metrics = Metrics(settings.statsd_address, settings.name)
         self._http = HttpServer(settings.http_address, settings.http_threads)
-        # Listeners beside the first, by the setting that gives the address.
+        # Additional listeners by the setting that holds their address.
         self._listeners: dict[str, HttpServer] = {}
         self._stopping = asyncio.Event()
-        self._hurry = asyncio.Event()
-        self._signals = 0
+        self._abort_requested = asyncio.Event()
+        self._signal_count = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Start, wait for a signal, finish the work and stop.
+        """Start, wait for a signal, finish the calls in flight and stop.
 
         :raises StartError: an address or the data folder cannot be used
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._on_signal)
-        # Unhandled, a hangup would end the process.
-        self._loop.add_signal_handler(signal.SIGHUP, self._on_hangup)
+        # Without a handler, SIGHUP would end the process.
+        self._loop.add_signal_handler(signal.SIGHUP, self._on_sighup)
         try:
             self.prepare()
             self._serve_metrics()
             await self._listen()
         except StartError:
-            # Left to the interpreter's end, the gRPC server prints a
-            # second, meaningless error after the line that counts.
+            # A gRPC server that is not stopped prints a meaningless error when
+            # the interpreter exits, after the one that gives the cause.
             await self._links.stop(0)
             raise
         self._http.limit_body(self._settings.request_body_bytes)
-        self.run_every(HTTP_SWEEP_S, self._http.sweep)
-        self.run_every(FLUSH_S, self._metrics.flush)
+        self.run_every(HTTP_SWEEP_PERIOD_S, self._http.sweep)
+        self.run_every(FLUSH_PERIOD_S, self._metrics.flush)
         self.start_tasks()
         reporter = Reporter(self._metrics, self.gauges, self._loop.time)
-        self.run_every(REPORT_S, reporter.report)
+        self.run_every(REPORT_PERIOD_S, reporter.report)
         log(Event.STARTED, role=self._settings.role)
         await self._stopping.wait()
         log(Event.STOPPING)
@@ -86,88 +86,91 @@
         log(Event.STOPPED)
 
     def stop(self) -> None:
-        """Begin to stop, as a signal does; safe to repeat."""
+        """Begin the graceful stop, as a signal does; idempotent."""
         self._stopping.set()
 
     def abort(self) -> int:
-        """End what is in flight; return how much that was."""
+        """Abort the calls in flight; return how many there were."""
         return 0
 
     def reload(self, settings: Settings) -> None:
-        """Take settings that have changed; a role adds what it can use."""
+        """Apply changed settings.
+
+        Roles extend this for settings that can change at run time.
+        """
         self._settings = settings
 
     def prepare(self) -> None:
-        """Build the role's state and mount what it serves."""
+        """Build the role's state and add its HTTP and gRPC handlers."""
         raise NotImplementedError
 
     def start_tasks(self) -> None:
-        """Start the role's periodic work."""
+        """Start the role's background tasks."""
         raise NotImplementedError
 
     def gauges(self) -> dict[str, float]:
-        """Give the role's gauges by name."""
+        """Return the values of the role's gauges by name."""
         return {}
 
     async def finish(self) -> None:
-        """Complete what is in flight before the listeners close."""
+        """Complete the calls in flight before the listeners close."""
 
     def close(self) -> None:
-        """Release what the role holds."""
+        """Release the role's resources."""
 
     def add_listener(
-        self, place: str, address: str | None, threads: int
+        self, setting: str, address: str | None, threads: int
     ) -> HttpServer | None:
-        """Listen at another address as well, if one is set."""
+        """Add a listener at the address that a setting holds, if any."""
         if address is None:
             return None
         server = HttpServer(address, threads)
-        self._listeners[place] = server
+        self._listeners[setting] = server
         return server
 
     def run_every(self, period_s: float, work: Work) -> None:
-        """Do some work again and again, by a function or a coroutine."""
+        """Call a function or coroutine function periodically."""
         self.spawn(repeat(period_s, work))
 
     def spawn(self, work: Coroutine[None, None, None]) -> None:
-        """Run a coroutine until the daemon stops."""
+        """Run a coroutine as a task; cancel it when the daemon stops."""
         self._tasks.append(self._loop.create_task(work))
 
     def _on_signal(self) -> None:
-        # An operator's drain followed by the service manager's signal is
-        # one graceful stop; only a second signal asks for haste.
-        self._signals += 1
+        # A drain by an operator followed by the service manager's signal is
+        # one graceful stop; only a second signal aborts the calls in flight.
+        self._signal_count += 1
         self._stopping.set()
-        if self._signals > 1:
-            self._hurry.set()
+        if self._signal_count > 1:
+            self._abort_requested.set()
 
-    def _on_hangup(self) -> None:
+    def _on_sighup(self) -> None:
         if self._settings.path is None:
             return
         settings = read_settings(self._settings.path)
         if isinstance(settings, Failure):
-            # What is in force was checked; a broken file changes nothing.
+            # An invalid file leaves the settings as they are.
             log(Event.SETTINGS_RELOAD, "error", detail=str(settings.failure()))
             return
         self.reload(settings.unwrap())
         log(Event.SETTINGS_RELOAD)
 
     async def _finish_in_time(self) -> None:
-        finishing = asyncio.ensure_future(self.finish())
-        hurrying = asyncio.ensure_future(self._hurry.wait())
+        finish_task = asyncio.ensure_future(self.finish())
+        abort_task = asyncio.ensure_future(self._abort_requested.wait())
         await asyncio.wait(
-            [finishing, hurrying],
+            [finish_task, abort_task],
             timeout=self._settings.shutdown_limit_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        hurrying.cancel()
-        if finishing.done():
-            await finishing
+        abort_task.cancel()
+        if finish_task.done():
+            await finish_task
             return
-        finishing.cancel()
+        finish_task.cancel()
         log(Event.WORK_ABORTED, "warning", calls=self.abort())
-        # Time for the last answers to be written.
-        await asyncio.sleep(CUT_S)
+        # Lets the last answers be written.
+        await asyncio.sleep(FINAL_WRITE_S)
 
     def _serve_metrics(self) -> None:
         server = self.add_listener(
@@ -195,14 +198,14 @@
                 f"grpc_address: cannot listen on "
                 f"{self._settings.grpc_address}: address in use"
             ) from error
-        for place, server in self._listeners.items():
-            self._open(place, server)
-        self._open("http_address", self._http)
+        for setting, server in self._listeners.items():
+            self._start_listener(setting, server)
+        self._start_listener("http_address", self._http)
 
-    def _open(self, place: str, server: HttpServer) -> None:
+    def _start_listener(self, setting: str, server: HttpServer) -> None:
         try:
             server.start()
         except OSError as error:
             raise StartError(
-                f"{place}: cannot listen on {server.address}: {error}"
+                f"{setting}: cannot listen on {server.address}: {error}"
             ) from error
--- a/packages/daemon/nutmegchute_daemon/reports.py
+++ b/packages/daemon/nutmegchute_daemon/reports.py
@@ -1,4 +1,4 @@
-"""Report what a daemon costs, against the budgets it has to keep."""
+"""Report the CPU time, memory and loop lag of a daemon as metrics."""
 
 import resource
 import time
@@ -6,13 +6,13 @@
 
 from .metrics import Metrics
 
-REPORT_S = 5.0
+REPORT_PERIOD_S = 5.0
 BYTES_PER_KILOBYTE = 1024
 PERCENT = 100.0
 
 
 class Reporter:
-    """Send the daemon's cost and its role's gauges every REPORT_S."""
+    """Report the daemon's resource usage and its role's gauges."""
 
     __slots__ = ("_cpu_s", "_gauges", "_metrics", "_now", "_reported_at")
 
@@ -29,7 +29,7 @@
         self._cpu_s = time.process_time()
 
     def report(self) -> None:
-        """Send one report; the loop calls it every REPORT_S."""
+        """Set all gauges; to be called every REPORT_PERIOD_S."""
         now = self._now()
         cpu_s = time.process_time()
         elapsed_s = now - self._reported_at
@@ -37,9 +37,9 @@
         if elapsed_s > 0:
             share = PERCENT * (cpu_s - self._cpu_s) / elapsed_s
             self._metrics.gauge("cpu_percent", round(share, 2))
-            # A loop that is late answers every call late; the report's
-            # own lateness shows it without a second timer.
-            lag_ms = max(0.0, elapsed_s - REPORT_S) * 1000
+            # A late loop delays every call. The lateness of this report
+            # measures the lag without a second timer.
+            lag_ms = max(0.0, elapsed_s - REPORT_PERIOD_S) * 1000
             self._metrics.gauge("loop_lag_ms", round(lag_ms, 1))
         usage = resource.getrusage(resource.RUSAGE_SELF)
         memory_bytes = usage.ru_maxrss * BYTES_PER_KILOBYTE
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Hold the metrics' page to the code, and the reports to the clock."""
+"""Test the metrics page against the code, and the periodic report."""
 
 import ast
 import re
@@ -8,18 +8,18 @@
 import nutmegchute_daemon
 from nutmegchute_daemon.metrics import CATALOGUE
 from nutmegchute_daemon.metrics import Metrics
-from nutmegchute_daemon.reports import REPORT_S
+from nutmegchute_daemon.reports import REPORT_PERIOD_S
 from nutmegchute_daemon.reports import Reporter
 
 PAGE = Path(__file__).parent.parent / "docs" / "metrics.rst"
 ENTRY = re.compile(
     r"^``([\w.]+)`` \((\w+), ([^)]+)\)\n((?:    .+\n)+)", re.MULTILINE
 )
-SENDERS = {"count": "counter", "gauge": "gauge", "time_ms": "timer"}
+KINDS_BY_METHOD = {"count": "counter", "gauge": "gauge", "time_ms": "timer"}
 
 
 def test_page_and_catalogue_agree() -> None:
-    """Give each metric its type, unit, meaning and alert."""
+    """The page lists each metric with its type, unit and alert."""
     found = {}
     for name, kind, unit, body in ENTRY.findall(PAGE.read_text()):
         found[name] = (kind, unit)
@@ -28,17 +28,17 @@
 
 
 def test_code_and_catalogue_agree() -> None:
-    """Send every metric of the catalogue, by its type, and none besides."""
+    """The code sends exactly the metrics of the catalogue, by type."""
     assert _sent() == {name: kind for name, (kind, _) in CATALOGUE.items()}
 
 
-def test_report_gives_cost_and_lag() -> None:
-    """Report a loop held for half a second as that much lag."""
+def test_report_includes_loop_lag() -> None:
+    """A loop blocked for 0.5 s is reported as 500 ms of lag."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as listener:
         listener.bind(("127.0.0.1", 0))
         listener.settimeout(5)
         port = listener.getsockname()[1]
-        times = iter([0.0, REPORT_S + 0.5])
+        times = iter([0.0, REPORT_PERIOD_S + 0.5])
         metrics = Metrics(f"127.0.0.1:{port}", "entry-1")
         reporter = Reporter(
             metrics,
@@ -67,10 +67,12 @@
             if not isinstance(function, ast.Attribute):
                 continue
             receiver = ast.unparse(function.value)
-            if function.attr in SENDERS and receiver.endswith("metrics"):
+            if function.attr in KINDS_BY_METHOD and receiver.endswith(
+                "metrics"
+            ):
                 name = _name(node.args[0])
                 if name:
-                    found[name] = SENDERS[function.attr]
+                    found[name] = KINDS_BY_METHOD[function.attr]
     return found
 
 
@@ -89,9 +91,10 @@
 
 
 def _name(argument: ast.expr) -> str:
-    """Write a metric's name as the catalogue does, {x.outcome} as OUTCOME.
+    """Return a metric's name as in the catalogue, {x.outcome} as OUTCOME.
 
-    A plain variable gives nothing: it stands for a role's gauges.
+    Return an empty string for a plain variable: it is a role's gauge, whose
+    name comes from the role's own ``gauges``.
     """
     if isinstance(argument, ast.Constant):
         return str(argument.value)
