--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Take calls, whole or refused, over real connections."""
+"""Test how calls are accepted, refused and answered over real connections."""
 
 import socket
 import threading
@@ -27,8 +27,8 @@
 NEXT = b"GET /call/catalogo/next HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Scene:
-    """Hold an edge and the upstreams behind it."""
+class EdgeHarness:
+    """Run the callers' edge of an entry with upstreams behind it."""
 
     def __init__(self, *behaviours: Behaviour, **values: Any) -> None:
         self.upstreams = [FaultyUpstream(one) for one in behaviours]
@@ -36,44 +36,44 @@
 
     @property
     def ran(self) -> int:
-        """Count the requests that reached an upstream."""
+        """Return the number of requests that reached an upstream."""
         return sum(len(one.requests) for one in self.upstreams)
 
-    def wait_until(self, what: Any) -> None:
-        """Wait for something that must come true."""
+    def wait_until(self, condition: Any) -> None:
+        """Wait until a condition holds."""
         for _ in range(1000):
-            if what():
+            if condition():
                 return
             threading.Event().wait(WAIT_S / 1000)
-        raise AssertionError("it did not come true")
+        raise AssertionError("condition did not hold in time")
 
     def stop(self) -> None:
-        """Stop all."""
+        """Stop the edge and the upstreams."""
         for one in self.upstreams:
             one.stop()
         self.edge.stop()
 
 
 @pytest.fixture(scope="module")
-def answering() -> Iterator[Scene]:
-    """Give an edge before one upstream that answers well."""
-    scene = Scene(faulty_upstreams.answer)
-    yield scene
-    scene.stop()
+def answering() -> Iterator[EdgeHarness]:
+    """Run an edge in front of one upstream that answers normally."""
+    harness = EdgeHarness(faulty_upstreams.answer)
+    yield harness
+    harness.stop()
 
 
 @pytest.fixture
 def build() -> Iterator[Any]:
-    """Build scenes and stop them at the end."""
-    built: list[Scene] = []
+    """Build edges with upstreams and stop them at the end."""
+    built: list[EdgeHarness] = []
 
-    def one(*behaviours: Behaviour, **values: Any) -> Scene:
-        built.append(Scene(*behaviours, **values))
+    def one(*behaviours: Behaviour, **values: Any) -> EdgeHarness:
+        built.append(EdgeHarness(*behaviours, **values))
         return built[-1]
 
     yield one
-    for scene in built:
-        scene.stop()
+    for harness in built:
+        harness.stop()
 
 
 BAD_REQUESTS = {
@@ -121,12 +121,12 @@
 
 
 @pytest.mark.parametrize("name", sorted(BAD_REQUESTS))
-def test_bad_request_is_refused(answering: Scene, name: str) -> None:
-    """Refuse what two servers could read in two ways; nothing runs.
+def test_bad_request_is_refused(answering: EdgeHarness, name: str) -> None:
+    """Refuse what two servers could parse differently; nothing runs.
 
-    The refusal says "not run", and the connection ends with it: whatever
-    follows on it could be the tail of the bad request, and must not be
-    answered as one of its own.
+    The refusal says "not run" and closes the connection: what follows on it
+    could be the rest of the bad request, and answering that as a request
+    would allow request smuggling.
     """
     before = answering.ran
     answer = answering.edge.say(BAD_REQUESTS[name] + NEXT)
@@ -136,8 +136,8 @@
     assert answering.ran == before
 
 
-def test_body_cut_short_is_never_sent(answering: Scene) -> None:
-    """A caller breaks off in the middle of a loan; no half of it runs."""
+def test_incomplete_body_is_never_sent(answering: EdgeHarness) -> None:
+    """Run no part of a loan whose caller disconnects in mid body."""
     before = answering.ran
     with answering.edge.connect() as sock:
         sock.sendall(HEAD + b"Content-Length: 100\r\n\r\nhalf")
@@ -146,8 +146,10 @@
     assert answering.ran == before
 
 
-def test_chunked_body_over_the_limit_is_refused(answering: Scene) -> None:
-    """A body without a length is counted while it comes."""
+def test_chunked_body_over_the_limit_is_refused(
+    answering: EdgeHarness,
+) -> None:
+    """Apply the size limit to a body without a length as it arrives."""
     chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
     with answering.edge.connect() as sock:
         sock.settimeout(WAIT_S)
@@ -158,13 +160,13 @@
         except OSError:
             return
         answer = drain(sock)
-    # The body was on its way to the upstream already, so the half that
-    # went there may have been looked at.
+    # Part of the body has been sent to the upstream already, which may have
+    # acted on it.
     assert UNKNOWN in answer or RESET in answer
 
 
-def test_unknown_service_is_refused(answering: Scene) -> None:
-    """Name what is wrong and say that nothing ran."""
+def test_unknown_service_is_refused(answering: EdgeHarness) -> None:
+    """Report the reason and that nothing ran."""
     answer = answering.edge.say(
         b"GET /call/nowhere/a HTTP/1.1\r\nConnection: close\r\n\r\n"
     )
@@ -172,20 +174,20 @@
     assert b"unknown service" in answer
 
 
-def test_target_goes_on_as_it_came(answering: Scene) -> None:
-    """An escaped slash must not turn into another path."""
+def test_target_is_forwarded_unchanged(answering: EdgeHarness) -> None:
+    """Forward escaped characters unchanged; decoded, they change the path."""
     target = "/a%2Fb%3Fc/../d//e?q=%20&r=/x"
     answer = answering.edge.call(target)
     assert answer.endswith(b"\r\n\r\n" + target.encode())
 
 
-def test_headers_go_on_whole_but_for_those_of_the_connection(
-    answering: Scene,
+def test_only_hop_by_hop_headers_are_dropped(
+    answering: EdgeHarness,
 ) -> None:
-    """Repeated headers stay, headers that Connection names go.
+    """Forward repeated headers; drop those that Connection lists.
 
-    ``X_Token`` and ``X-Token`` are two headers: taken for one, a caller
-    could overwrite what the other means.
+    ``X_Token`` and ``X-Token`` are two headers: mistaken for one, a caller
+    could override the other.
     """
     more = (
         "X-Twice: 1\r\nX-Twice: 2\r\nX_Token: a\r\nX-Token: b\r\n"
@@ -201,26 +203,28 @@
 
 
 @pytest.mark.parametrize("mark", [1, 3])
-def test_retry_mark_goes_on(answering: Scene, mark: int) -> None:
-    """A call that another layer sent again arrives so at the next one.
+def test_attempt_number_is_forwarded(
+    answering: EdgeHarness, mark: int
+) -> None:
+    """Forward the attempt number of a call that another layer has retried.
 
-    Sixteen layers that each retry once and forget the mark would send a
-    failing service 65,536 calls for one.
+    Sixteen layers that each retry once without it would turn one call to a
+    failing service into 65,536.
     """
     line = f"Nutmegchute-Attempt: {mark}\r\n"
     answering.edge.call("/deep", more=line)
     assert line.encode() in answering.upstreams[0].requests[-1]
 
 
-def test_head_has_no_body(answering: Scene) -> None:
-    """The length is told, the body is not sent."""
+def test_answer_to_head_has_no_body(answering: EdgeHarness) -> None:
+    """Send no body in the answer to a HEAD request."""
     answer = answering.edge.call("/x", method="HEAD")
     assert b" 200 " in answer
     assert answer.endswith(b"\r\n\r\n")
 
 
-def test_connection_serves_call_after_call(answering: Scene) -> None:
-    """Each answer on one connection is that of its own request."""
+def test_connection_serves_successive_calls(answering: EdgeHarness) -> None:
+    """Answer successive requests on one connection in order."""
     with answering.edge.connect() as sock:
         for number in range(3):
             sock.sendall(NEXT.replace(b"next", b"n%d" % number))
@@ -229,8 +233,8 @@
                 answer += sock.recv(65536)
 
 
-def test_trailers_are_not_read_as_a_request(answering: Scene) -> None:
-    """What follows the last chunk belongs to the body."""
+def test_trailers_are_not_read_as_a_request(answering: EdgeHarness) -> None:
+    """Skip the trailers of a chunked body before the next request."""
     answer = answering.edge.say(
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"
         b"0\r\nX-Sum: 1\r\n\r\n"
@@ -241,16 +245,16 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, 65535, 65536, 65537, 1000000])
-def test_body_arrives_whole(answering: Scene, size: int) -> None:
-    """Short bodies are held, long ones pass through."""
+def test_body_arrives_whole(answering: EdgeHarness, size: int) -> None:
+    """Forward bodies unchanged, short ones buffered and long ones streamed."""
     body = bytes(number % 251 for number in range(size))
     assert b" 200 " in answering.edge.call("/b", "POST", body)[:20]
     sent = answering.upstreams[0].requests[-1]
     assert sent.partition(b"\r\n\r\n")[2] == body
 
 
-def test_long_chunked_body_arrives_whole(answering: Scene) -> None:
-    """A body of unknown length passes through in chunks."""
+def test_long_chunked_body_arrives_whole(answering: EdgeHarness) -> None:
+    """Stream a body of unknown length in chunks."""
     chunks = b"".join(b"4000\r\n" + b"~" * 16384 + b"\r\n" for _ in range(8))
     answer = answering.edge.say(
         HEAD
@@ -262,63 +266,64 @@
     assert answering.upstreams[0].requests[-1].count(b"~") == 8 * 16384
 
 
-def test_cut_answer_is_cut_for_the_caller(build: Any) -> None:
-    """Half of a catalogue must not look like the whole."""
-    scene = build(faulty_upstreams.half_a_long_body)
-    answer = scene.edge.call("/long")
+def test_broken_answer_is_broken_for_the_caller(build: Any) -> None:
+    """Pass on a broken answer as broken, not as a complete catalogue."""
+    harness = build(faulty_upstreams.half_a_long_body)
+    answer = harness.edge.call("/long")
     assert b"Content-Length: 400000" in answer
     assert len(answer) < 400000
 
 
-def test_cut_chunks_get_no_last_chunk(build: Any) -> None:
-    """The last chunk is the only mark of a whole answer.
+def test_broken_chunked_answer_has_no_last_chunk(build: Any) -> None:
+    """Write no last chunk if the upstream breaks off between two chunks.
 
-    The upstream breaks off between two chunks. Written all the same, the
-    mark would make half a catalogue a whole one on a connection that
-    goes on to serve.
+    Only the last chunk shows that an answer is complete. Written anyway, it
+    would make half a catalogue look complete.
     """
-    scene = build(faulty_upstreams.half_the_chunks)
-    answer = scene.edge.say(HEAD + b"\r\n")
+    harness = build(faulty_upstreams.half_the_chunks)
+    answer = harness.edge.say(HEAD + b"\r\n")
     assert b"5\r\nhalf!\r\n" in answer
     assert b"\r\n0\r\n" not in answer
 
 
 def test_lost_loan_is_unknown_and_sent_once(build: Any) -> None:
-    """The loan's answer breaks; a second upstream is there and unused."""
-    scene = build(
+    """Do not resend a loan to another upstream if its answer breaks."""
+    harness = build(
         faulty_upstreams.reset_after_head, faulty_upstreams.reset_after_head
     )
-    assert UNKNOWN in scene.edge.call("/loan", "POST", b"atlas")
-    assert scene.ran == 1
+    assert UNKNOWN in harness.edge.call("/loan", "POST", b"atlas")
+    assert harness.ran == 1
 
 
-def test_lookup_whose_answer_breaks_is_answered(build: Any) -> None:
-    """An idempotent call goes to another upstream, also when cut."""
-    scene = build(faulty_upstreams.half_a_body, faulty_upstreams.answer)
+def test_lookup_with_broken_answer_is_retried(build: Any) -> None:
+    """Retry an idempotent call at another upstream if its answer breaks."""
+    harness = build(faulty_upstreams.half_a_body, faulty_upstreams.answer)
     for _ in range(6):
-        assert scene.edge.call("/shelf").endswith(b"/shelf")
+        assert harness.edge.call("/shelf").endswith(b"/shelf")
 
 
 def test_shed_loan_runs_elsewhere(build: Any) -> None:
-    """What was truly not run may be sent again."""
-    scene = build(faulty_upstreams.shed, faulty_upstreams.answer)
+    """Retry a loan that an upstream shed before running it."""
+    harness = build(faulty_upstreams.shed, faulty_upstreams.answer)
     for _ in range(4):
-        assert scene.edge.call("/loan", "POST", b"x").endswith(b"/loan")
+        assert harness.edge.call("/loan", "POST", b"x").endswith(b"/loan")
 
 
 @pytest.mark.parametrize(
     "behaviour", [faulty_upstreams.trickle_head, faulty_upstreams.stay_silent]
 )
-def test_deadline_bounds_a_trickle(build: Any, behaviour: Behaviour) -> None:
-    """Each byte restarts a read's time-out, so the whole is bounded too."""
-    scene = build(behaviour, deadline_ms=300)
-    assert UNKNOWN in scene.edge.call("/loan", "POST", b"x")
+def test_deadline_ends_a_trickled_head(
+    build: Any, behaviour: Behaviour
+) -> None:
+    """Limit the total wait, since each byte restarts a read's time-out."""
+    harness = build(behaviour, deadline_ms=300)
+    assert UNKNOWN in harness.edge.call("/loan", "POST", b"x")
 
 
-def test_deadline_bounds_a_trickled_body(build: Any) -> None:
-    """The head came in time, the body would take hours: it is cut."""
-    scene = build(faulty_upstreams.trickle_body, deadline_ms=300)
-    answer = scene.edge.call("/long")
+def test_deadline_ends_a_trickled_body(build: Any) -> None:
+    """Break off an answer whose head is in time but whose body is not."""
+    harness = build(faulty_upstreams.trickle_body, deadline_ms=300)
+    answer = harness.edge.call("/long")
     assert b"Content-Length: 400000" in answer
     assert len(answer) < 10000
 
@@ -326,70 +331,70 @@
 def test_abandoned_call_frees_its_slot_and_stops_the_upstream(
     build: Any,
 ) -> None:
-    """A caller hangs up while the upstream works.
+    """Cancel the attempt of a caller that disconnects.
 
-    The slot must come back long before the deadline, and the upstream
-    must see its connection close, so that it can stop working.
+    Otherwise the slot would stay taken until the deadline, and the upstream,
+    whose connection stays open, would go on working.
     """
-    scene = build(faulty_upstreams.stay_silent, deadline_ms=60000)
-    with scene.edge.connect() as sock:
+    harness = build(faulty_upstreams.stay_silent, deadline_ms=60000)
+    with harness.edge.connect() as sock:
         sock.sendall(HEAD + b"\r\n")
-        scene.wait_until(lambda: scene.ran == 1)
-    assert scene.upstreams[0].closed.wait(WAIT_S)
-    scene.wait_until(lambda: scene.edge.in_flight() == 0)
-    scene.wait_until(lambda: scene.edge.handler.active == 0)
+        harness.wait_until(lambda: harness.ran == 1)
+    assert harness.upstreams[0].closed.wait(WAIT_S)
+    harness.wait_until(lambda: harness.edge.in_flight() == 0)
+    harness.wait_until(lambda: harness.edge.handler.active == 0)
 
 
 def test_full_entry_refuses_at_once(build: Any) -> None:
-    """No thread is left for a call: say so now, and when to come back.
+    """Refuse a call at once if no thread is free for it.
 
-    A call that waited unseen in the server's queue would eat its deadline
-    there, and announcements behind it would come too late.
+    In the server's queue the call would use up its deadline, and the
+    announcements behind it would be late.
     """
-    scene = build(faulty_upstreams.answer_late, threads=4, deadline_ms=60000)
-    held = [scene.edge.connect() for _ in range(3)]
+    harness = build(faulty_upstreams.answer_late, threads=4, deadline_ms=60000)
+    held = [harness.edge.connect() for _ in range(3)]
     for sock in held:
         sock.sendall(HEAD + b"Connection: close\r\n\r\n")
-    scene.wait_until(lambda: scene.edge.handler.active == 3)
-    answer = scene.edge.call("/more")
+    harness.wait_until(lambda: harness.edge.handler.active == 3)
+    answer = harness.edge.call("/more")
     assert NOT_RUN in answer
     assert b"Retry-After: 1" in answer
-    scene.upstreams[0].release.set()
+    harness.upstreams[0].release.set()
     for sock in held:
         assert b" 200 " in drain(sock)[:20]
         sock.close()
-    assert scene.ran == 3
+    assert harness.ran == 3
 
 
 def test_slow_reader_gets_the_whole_answer(build: Any) -> None:
-    """Its slowness does not count against the upstream's time."""
+    """Do not count the wait for a slow reader against the upstream."""
 
     def long_answer(exchange: faulty_upstreams.Exchange) -> None:
         exchange.read()
         exchange.write(faulty_upstreams.whole(b"z" * 8_000_000))
 
-    scene = build(long_answer, deadline_ms=300)
-    with scene.edge.connect() as sock:
+    harness = build(long_answer, deadline_ms=300)
+    with harness.edge.connect() as sock:
         sock.sendall(HEAD + b"Connection: close\r\n\r\n")
         threading.Event().wait(1.0)
         assert drain(sock).count(b"z") == 8_000_000
 
 
-class TwoSends:
-    """Decide as a balancer that hedges at once."""
+class HedgingBalancer:
+    """Send each call to all endpoints, like a balancer that hedges at once."""
 
     def __init__(self, endpoints: list[str]) -> None:
         self._endpoints = endpoints
         self.in_flight = 0
 
     def next_wakeup(self) -> None:
-        """Ask for no timer."""
+        """Return no wake-up time."""
 
     def configure(self, services: Any, now: float) -> None:
-        """Take no configuration."""
+        """Ignore the configuration."""
 
     def update_upstreams(self, live: Any, now: float) -> list[Action]:
-        """Take no upstreams."""
+        """Ignore the upstreams."""
         return []
 
     def arrive(self, *_: Any) -> tuple[int, list[Action]]:
@@ -400,7 +405,7 @@
         return 1, sends
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Let the first answer win and cancel the other send."""
+        """Finish with the first answer and cancel the other attempt."""
         if result.outcome != ANSWERED:
             return []
         loser = 3 - result.attempt
@@ -408,18 +413,18 @@
 
 
 @pytest.mark.parametrize("slow", [0, 1])
-def test_first_good_answer_of_two_sends_wins(build: Any, slow: int) -> None:
-    """A hedged lookup is answered by the faster upstream.
+def test_first_good_answer_of_two_attempts_wins(build: Any, slow: int) -> None:
+    """Answer a hedged lookup with the faster attempt and cancel the other.
 
-    The worker thread waits for the first send while the second runs
-    beside it. Whichever answers first, the caller gets it at once, and
-    the slower upstream sees its connection close, so that it can stop.
+    The worker thread waits for the first attempt while a hedging thread runs
+    the second. Whichever is first, the caller gets its answer at once and
+    the other upstream sees its connection close.
     """
     behaviours = [faulty_upstreams.answer, faulty_upstreams.answer]
     behaviours[slow] = faulty_upstreams.stay_silent
-    scene = build(*behaviours)
-    endpoints = [one.address for one in scene.upstreams]
-    scene.edge.decide_by(TwoSends(endpoints))
-    assert scene.edge.call("/shelf").endswith(b"/shelf")
-    assert scene.upstreams[slow].closed.wait(WAIT_S)
-    scene.wait_until(lambda: scene.edge.handler.active == 0)
+    harness = build(*behaviours)
+    endpoints = [one.address for one in harness.upstreams]
+    harness.edge.decide_by(HedgingBalancer(endpoints))
+    assert harness.edge.call("/shelf").endswith(b"/shelf")
+    assert harness.upstreams[slow].closed.wait(WAIT_S)
+    harness.wait_until(lambda: harness.edge.handler.active == 0)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Close callers' connections so that they see what is true."""
+"""Test that closing a connection shows its caller the true outcome."""
 
 import socket
 from types import SimpleNamespace
@@ -9,8 +9,8 @@
 UNREAD = b"x" * 100000
 
 
-def accept() -> tuple[socket.socket, CallerConnection]:
-    """Connect a caller that has sent what nobody will read."""
+def connect_caller() -> tuple[socket.socket, CallerConnection]:
+    """Connect a caller whose request body will not be read."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         caller = socket.create_connection(listener.getsockname())
         accepted, _ = listener.accept()
@@ -22,14 +22,13 @@
     return caller, CallerConnection(http, accepted)
 
 
-def test_refusal_outlives_a_body_nobody_reads() -> None:
-    """A body that is too large is refused before it is read.
+def test_refusal_arrives_despite_an_unread_body() -> None:
+    """Send the refusal of a body that is too large before the reset.
 
-    The end of the answer leaves before the reset that the unread bytes
-    cause; else the caller would lose the refusal with the connection and
-    would have to call it "unknown".
+    Closing a socket with unread bytes resets the connection. If the caller
+    got only the reset, it would have to treat the outcome as "unknown".
     """
-    caller, connection = accept()
+    caller, connection = connect_caller()
     connection.wfile.write(b"refused")
     connection.close()
     with caller:
@@ -37,9 +36,9 @@
         assert caller.recv(100) == b""
 
 
-def test_cut_answer_ends_in_a_reset() -> None:
-    """An answer that only its close ends must not seem to end well."""
-    caller, connection = accept()
+def test_aborted_answer_ends_in_a_reset() -> None:
+    """Reset the connection, as a clean close would look like the end."""
+    caller, connection = connect_caller()
     connection.reset()
     connection.close()
     with caller, pytest.raises(ConnectionResetError):
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,11 +1,11 @@
-"""Recognize a request that comes again."""
+"""Test that fingerprints identify repetitions of a request."""
 
 from nutmegchute_daemon.fingerprints import fingerprint
 from nutmegchute_daemon.senders import Request
 from urllib3 import HTTPHeaderDict
 
 
-def _digest(
+def _fingerprint(
     method: str = "POST",
     target: str = "/loan/1?x=1",
     body: bytes = b"book",
@@ -16,21 +16,21 @@
     return fingerprint(host, "", request)
 
 
-def test_same_request_again() -> None:
-    """Know a request again whatever its attempt's own headers say."""
-    assert _digest(Deadline="900") == _digest(Deadline="300")
-    assert _digest(host="A.example") == _digest()
+def test_repeated_request_has_the_same_fingerprint() -> None:
+    """Ignore headers that differ between attempts, and the host's case."""
+    assert _fingerprint(Deadline="900") == _fingerprint(Deadline="300")
+    assert _fingerprint(host="A.example") == _fingerprint()
 
 
-def test_other_requests() -> None:
-    """Tell requests apart that ask something else."""
+def test_other_requests_have_other_fingerprints() -> None:
+    """Give different requests and callers different fingerprints."""
     others = [
-        _digest(method="PUT"),
-        _digest(target="/loan/2?x=1"),
-        _digest(target="/loan/1?x=2"),
-        _digest(body=b"atlas"),
-        _digest(host="b.example"),
-        _digest(Authorization="Basic bWVtYmVy"),
-        _digest(Cookie="member=1"),
+        _fingerprint(method="PUT"),
+        _fingerprint(target="/loan/2?x=1"),
+        _fingerprint(target="/loan/1?x=2"),
+        _fingerprint(body=b"atlas"),
+        _fingerprint(host="b.example"),
+        _fingerprint(Authorization="Basic bWVtYmVy"),
+        _fingerprint(Cookie="member=1"),
     ]
-    assert len({_digest(), *others}) == 1 + len(others)
+    assert len({_fingerprint(), *others}) == 1 + len(others)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Lose answers of real processes and count what upstreams ran."""
+"""Test with real processes that a keyed loan runs at most once."""
 
 import signal
 import time
@@ -18,7 +18,7 @@
 SLOW_MS = 400
 ROUNDS = 5
 KEEP_S = 1.0
-STRANGER = (
+UNKNOWN_SERVICE = (
     b'{"service": "nowhere", "endpoint": "127.0.0.1:1", "slots": 1,'
     b' "availability_zone": "surco", "incarnation": 1}'
 )
@@ -42,20 +42,22 @@
                 record=folder / f"ran-{number}",
             )
         for entry in one.entries:
-            one.wait_for("upstreams", lambda e=entry: knows(one, e, 2))
+            one.wait_for(
+                "upstreams", lambda e=entry: lists_upstreams(one, e, 2)
+            )
         yield one
     finally:
         one.stop()
 
 
-def knows(cluster: Cluster, entry: Process, count: int) -> bool:
-    """Tell whether an entry may act and knows its upstreams."""
+def lists_upstreams(cluster: Cluster, entry: Process, count: int) -> bool:
+    """Return whether an entry lists this number of upstreams."""
     status = cluster.ask(entry)
     return status is not None and len(status["upstreams"]) == count
 
 
-def drains(cluster: Cluster, entry: Process, upstream: Process) -> bool:
-    """Tell whether an entry has heard that an upstream leaves."""
+def is_draining(cluster: Cluster, entry: Process, upstream: Process) -> bool:
+    """Return whether an entry lists an upstream as draining."""
     status = cluster.ask(entry) or {"upstreams": []}
     for one in status["upstreams"]:
         if one["endpoint"] == upstream.address:
@@ -63,163 +65,163 @@
     return False
 
 
-def ran(folder: Path, identity: str) -> int:
-    """Count how often upstreams ran a request."""
+def count_runs(folder: Path, identity: str) -> int:
+    """Return how often upstreams ran a request."""
     lines: list[str] = []
     for path in folder.glob("ran-*"):
         lines.extend(path.read_text().splitlines())
     return sum(1 for line in lines if line.endswith(f" {identity}"))
 
 
-def loan(
+def send_loan(
     entry: Process, key: str, body: bytes = b"atlas", method: str = "POST"
 ) -> urllib3.BaseHTTPResponse:
-    """Ask for a loan through one entry."""
+    """Send a loan through one entry."""
     url = f"http://{entry.address}/call/prestamos/loans"
     headers = {"X-Request-Id": key, "Idempotency-Key": key}
     return POOL.request(method, url, body=body, headers=headers)
 
 
-def lookup(entry: Process) -> urllib3.BaseHTTPResponse:
-    """Look up a shelf through one entry."""
-    return loan(entry, "lookup", method="GET")
+def send_lookup(entry: Process) -> urllib3.BaseHTTPResponse:
+    """Send a lookup through one entry."""
+    return send_loan(entry, "lookup", method="GET")
 
 
-def outcome(answer: urllib3.BaseHTTPResponse) -> str | None:
-    """Give what an answer says of its request."""
+def outcome_of(answer: urllib3.BaseHTTPResponse) -> str | None:
+    """Return the outcome that an answer reports."""
     return answer.headers.get("Nutmegchute-Outcome")
 
 
-def test_a_resend_elsewhere_is_told_that_it_ran(cluster: Cluster) -> None:
-    """Run a loan once when its answer was lost on the way to the caller.
+def test_resend_at_another_entry_reports_ran(cluster: Cluster) -> None:
+    """Run a loan once if its caller loses the answer and resends it.
 
-    The member's till sends it again through another entry. The book must
-    not be packed twice, and the till learns the first answer's status.
+    The resend goes through another entry. The book must not be packed twice,
+    and the caller gets the status of the first answer.
     """
     one, other, _ = cluster.entries
-    assert loan(one, "lost-answer").status == 200
+    assert send_loan(one, "lost-answer").status == 200
     time.sleep(0.2)
-    again = loan(other, "lost-answer")
-    assert (again.status, outcome(again)) == (409, "ran")
+    again = send_loan(other, "lost-answer")
+    assert (again.status, outcome_of(again)) == (409, "ran")
     assert again.headers["Nutmegchute-Ran-Status"] == "200"
-    reused = loan(other, "lost-answer", body=b"another book")
-    assert (reused.status, outcome(reused)) == (422, "not-run")
-    assert ran(cluster.folder, "lost-answer") == 1
+    reused = send_loan(other, "lost-answer", body=b"another book")
+    assert (reused.status, outcome_of(reused)) == (422, "not-run")
+    assert count_runs(cluster.folder, "lost-answer") == 1
 
 
-def test_a_resend_during_the_first_is_not_sent(cluster: Cluster) -> None:
-    """Run a loan once when its caller was too impatient to wait."""
+def test_resend_during_the_first_is_not_sent(cluster: Cluster) -> None:
+    """Run a loan once if its caller resends it before the answer."""
     with ThreadPoolExecutor(2) as pool:
-        first = pool.submit(loan, cluster.entries[0], "impatient")
+        first = pool.submit(send_loan, cluster.entries[0], "impatient")
         time.sleep(SLOW_MS / 2000)
-        again = loan(cluster.entries[1], "impatient")
-        assert (again.status, outcome(again)) == (409, "unknown")
+        again = send_loan(cluster.entries[1], "impatient")
+        assert (again.status, outcome_of(again)) == (409, "unknown")
         assert first.result().status == 200
-    assert ran(cluster.folder, "impatient") == 1
+    assert count_runs(cluster.folder, "impatient") == 1
 
 
-def test_a_killed_entry_leaves_unknown(cluster: Cluster) -> None:
-    """Run a loan once when its entry is killed while it runs.
+def test_killed_entry_leaves_unknown(cluster: Cluster) -> None:
+    """Run a loan once if its entry is killed while it runs.
 
-    The caller's connection breaks. Sent again through another entry, the
-    key is found claimed and unsettled: "unknown" is the only true word.
+    The caller's connection breaks. Another entry finds the key claimed but
+    not settled, so it must report "unknown".
     """
     entry = cluster.entries[2]
     with ThreadPoolExecutor(2) as pool:
-        first = pool.submit(loan, entry, "killed-entry")
+        first = pool.submit(send_loan, entry, "killed-entry")
         time.sleep(SLOW_MS / 2000)
         entry.kill()
         with pytest.raises(urllib3.exceptions.HTTPError):
             first.result()
     for other in cluster.entries[:2]:
-        again = loan(other, "killed-entry")
-        assert (again.status, outcome(again)) == (409, "unknown")
+        again = send_loan(other, "killed-entry")
+        assert (again.status, outcome_of(again)) == (409, "unknown")
     time.sleep(SLOW_MS / 1000)
-    assert ran(cluster.folder, "killed-entry") == 1
+    assert count_runs(cluster.folder, "killed-entry") == 1
     entry.restart()
-    cluster.wait_for("the entry", lambda: knows(cluster, entry, 2))
+    cluster.wait_for("the entry", lambda: lists_upstreams(cluster, entry, 2))
 
 
 def test_without_control_lookups_go_on(cluster: Cluster) -> None:
-    """Refuse only what needs the ledger while all of control is down.
+    """Refuse only calls that need the ledger while control is down.
 
-    A keyed loan that is not claimed must not be sent; it is refused at
-    once and truly did not run, so the same key runs once control is back.
+    A keyed loan that is not claimed must not be sent. It is refused as "not
+    run", so the same key runs when control is back.
     """
     entry = cluster.entries[0]
     for control in cluster.controls:
         control.signal(signal.SIGSTOP)
     try:
-        refused = loan(entry, "no-quorum")
-        assert (refused.status, outcome(refused)) == (503, "not-run")
+        refused = send_loan(entry, "no-quorum")
+        assert (refused.status, outcome_of(refused)) == (503, "not-run")
         assert int(refused.headers["Retry-After"]) >= 1
-        assert outcome(loan(entry, "no-quorum")) == "not-run"
-        assert loan(entry, "lookup", method="GET").status == 200
+        assert outcome_of(send_loan(entry, "no-quorum")) == "not-run"
+        assert send_loan(entry, "lookup", method="GET").status == 200
     finally:
         for control in cluster.controls:
             control.signal(signal.SIGCONT)
 
     def runs() -> bool:
-        return loan(entry, "no-quorum").status == 200
+        return send_loan(entry, "no-quorum").status == 200
 
     cluster.wait_for("the ledger", runs)
-    assert ran(cluster.folder, "no-quorum") == 1
+    assert count_runs(cluster.folder, "no-quorum") == 1
 
 
-def test_a_stopping_entry_ends_what_it_began(cluster: Cluster) -> None:
-    """Cut off no request when an entry is told to stop.
+def test_stopping_entry_completes_calls_in_flight(cluster: Cluster) -> None:
+    """Complete the calls in flight before an entry stops.
 
-    A loan is under way when the entry is told. It gets its answer, and the
-    ledger its outcome; only then does the process end, with status 0.
+    A loan is in flight at SIGTERM. The caller must get its answer and the
+    ledger its outcome before the process ends with status 0.
     """
     entry = cluster.entries[1]
     with ThreadPoolExecutor(2) as pool:
-        first = pool.submit(loan, entry, "under-way")
+        first = pool.submit(send_loan, entry, "under-way")
         time.sleep(SLOW_MS / 4000)
         entry.signal(signal.SIGTERM)
         assert first.result().status == 200
     assert entry.wait() == 0
-    again = loan(cluster.entries[0], "under-way")
-    assert (again.status, outcome(again)) == (409, "ran")
-    assert ran(cluster.folder, "under-way") == 1
+    again = send_loan(cluster.entries[0], "under-way")
+    assert (again.status, outcome_of(again)) == (409, "ran")
+    assert count_runs(cluster.folder, "under-way") == 1
     entry.restart()
-    cluster.wait_for("the entry", lambda: knows(cluster, entry, 2))
+    cluster.wait_for("the entry", lambda: lists_upstreams(cluster, entry, 2))
 
 
-def test_a_stopping_entry_serves_while_its_address_is_kept(
+def test_stopping_entry_serves_while_its_address_is_kept(
     cluster: Cluster,
 ) -> None:
-    """Serve a caller that was given the address just before the stop.
+    """Serve a caller that got the entry's address just before the stop.
 
-    The entry is idle and told to stop; half the time to keep later the
-    caller comes with a loan. Refused, it would wait for nothing.
+    Callers may use the address for the keep time. The entry is idle at
+    SIGTERM and must still serve a loan half the keep time later.
     """
     entry = cluster.entries[1]
     entry.signal(signal.SIGTERM)
     time.sleep(KEEP_S / 2)
-    assert loan(entry, "kept-address").status == 200
+    assert send_loan(entry, "kept-address").status == 200
     assert entry.wait() == 0
-    assert ran(cluster.folder, "kept-address") == 1
+    assert count_runs(cluster.folder, "kept-address") == 1
     entry.restart()
-    cluster.wait_for("the entry", lambda: knows(cluster, entry, 2))
+    cluster.wait_for("the entry", lambda: lists_upstreams(cluster, entry, 2))
 
 
-def test_a_leaving_upstream_gets_no_new_work(cluster: Cluster) -> None:
-    """Send nothing to an upstream that has announced that it leaves.
+def test_draining_upstream_gets_no_new_calls(cluster: Cluster) -> None:
+    """Send nothing to an upstream that has announced its drain.
 
-    It goes on serving, so nothing but the word of its drain keeps calls
-    away from it, at the entry that heard it and at all others. How long
-    the word takes is bounded on virtual time by ``test_gossips.py``; here
-    a loaded machine would only measure itself.
+    It still serves, so only the announcement keeps calls away from it, at
+    the entry that received it and at all others. ``test_gossips.py`` limits
+    the time this takes on virtual time; here it would depend on the load of
+    the machine.
     """
     record = cluster.folder / "ran-3"
     upstream = cluster.add_upstream("prestamos", record=record)
     for entry in cluster.entries:
-        cluster.wait_for("it", lambda e=entry: knows(cluster, e, 3))
+        cluster.wait_for("it", lambda e=entry: lists_upstreams(cluster, e, 3))
     with ThreadPoolExecutor(CALLERS) as pool:
 
         def lookups() -> bool:
-            for answer in pool.map(lookup, cluster.entries * 4):
+            for answer in pool.map(send_lookup, cluster.entries * 4):
                 assert answer.status == 200
             return bool(record.read_text())
 
@@ -227,7 +229,7 @@
         POOL.request("GET", f"http://{upstream.address}/_drain")
         for entry in cluster.entries:
             cluster.wait_for(
-                "its drain", lambda e=entry: drains(cluster, e, upstream)
+                "its drain", lambda e=entry: is_draining(cluster, e, upstream)
             )
         before = record.read_text()
         for _ in range(ROUNDS):
@@ -235,7 +237,9 @@
     assert record.read_text() == before
     upstream.kill()
     for entry in cluster.entries:
-        cluster.wait_for("its end", lambda e=entry: knows(cluster, e, 2))
+        cluster.wait_for(
+            "its end", lambda e=entry: lists_upstreams(cluster, e, 2)
+        )
 
 
 @pytest.mark.parametrize(
@@ -246,16 +250,16 @@
         ("POST", "/announce", b" " * 5000, 413),
         ("GET", "/announce", b"", 405),
         ("POST", "/announcement", b"{}", 404),
-        ("POST", "/announce?x=1", STRANGER, 404),
+        ("POST", "/announce?x=1", UNKNOWN_SERVICE, 404),
     ],
 )
 def test_wrong_announcements_get_a_clear_error(
     cluster: Cluster, method: str, path: str, body: bytes, status: int
 ) -> None:
-    """Name what is wrong over HTTP, and know no endpoint more."""
+    """Report what is wrong over HTTP and add no endpoint."""
     entry = cluster.entries[0]
     url = f"http://{entry.address}{path}"
     answer = POOL.request(method, url, body=body)
     assert answer.status == status
     assert answer.json()["reason"]
-    assert knows(cluster, entry, 2)
+    assert lists_upstreams(cluster, entry, 2)
--- a/tests/test_pending_calls.py
+++ b/tests/test_pending_calls.py
@@ -1,4 +1,4 @@
-"""Test what a call carries to the loop."""
+"""Test the deadline and the record of a pending call."""
 
 import pytest
 from nutmegchute_daemon.pending_calls import Arrival
@@ -6,26 +6,28 @@
 
 
 @pytest.mark.parametrize(
-    ("own_s", "expected_s"), [(None, 2.0), (0.0, 0.0), (1.0, 1.0), (5.0, 2.0)]
+    ("caller_s", "expected_s"),
+    [(None, 2.0), (0.0, 0.0), (1.0, 1.0), (5.0, 2.0)],
 )
-def test_the_shorter_deadline_holds(
-    own_s: float | None, expected_s: float
+def test_shorter_deadline_applies(
+    caller_s: float | None, expected_s: float
 ) -> None:
-    """A call whose time ran out waiting for a worker has none left.
+    """Treat 0.0 s left as an expired deadline, not as no deadline.
 
-    Its 0.0 s once counted as "none given", and a purchase that nobody
-    waited for any more was claimed and sent with the rule's deadline.
+    A call can use up its deadline while it waits for a worker. Mistaken for
+    a call without one, a purchase that nobody waits for is claimed and sent
+    with the rule's deadline.
     """
-    arrival = Arrival("catalog", "POST", "/purchases", own_s, 1)
+    arrival = Arrival("catalog", "POST", "/purchases", caller_s, 1)
     assert arrival.min_deadline_s(2.0) == expected_s
 
 
 def test_logged_time_ends_with_the_answer() -> None:
-    """Log the time until the answer was written, not until it was noted.
+    """Log the time until the answer was written, not until the next sweep.
 
-    The loop hears of an answer at its next sweep, up to 0.1 s later. Logged
-    then, an answer of 140 ms stood there as one of 230 ms, and an engineer
-    looked for 90 ms that no caller had waited.
+    The loop closes a call at its next sweep, up to 0.1 s later. With that
+    time an answer after 140 ms is logged as one after 230 ms, though its
+    caller did not wait for the other 90 ms.
     """
     record = CallRecord()
     assert record.ms == 0.0
--- a/tests/test_senders.py
+++ b/tests/test_senders.py
@@ -1,4 +1,4 @@
-"""Send to upstreams that misbehave and say only what is true."""
+"""Test the outcomes of attempts at upstreams that misbehave."""
 
 import socket
 import threading
@@ -44,8 +44,8 @@
         upstream.stop()
 
 
-class Line:
-    """Send to one endpoint over kept connections."""
+class EndpointClient:
+    """Send to one endpoint over pooled connections."""
 
     def __init__(self, endpoint: str) -> None:
         self.endpoint = endpoint
@@ -53,7 +53,7 @@
         self.exchange = Exchange()
 
     def send(self, target: str = "/a", remaining_s: float = LONG_S) -> str:
-        """Send one request; return its outcome, and keep the reply."""
+        """Send one request, store the reply and return its outcome."""
         self.exchange = Exchange()
         request = Request("POST", target, HTTPHeaderDict(), b"body")
         self.reply = self.sender.send(
@@ -67,39 +67,41 @@
 
 
 def test_refused_connection_is_not_run() -> None:
-    """Nothing can have run where nothing listens."""
-    assert Line(free_address()).send() == NOT_RUN
+    """Report "not run" if nothing listens at the address."""
+    assert EndpointClient(free_address()).send() == NOT_RUN
 
 
-def test_connecting_in_vain_is_not_run() -> None:
-    """A full backlog drops the connection's first packet: nothing ran."""
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
-        host, port = full.getsockname()
-        waiting = [socket.socket() for _ in range(4)]
-        for one in waiting:
+def test_connect_timeout_is_not_run() -> None:
+    """Report "not run" if a full backlog drops the connection's SYN."""
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
+        host, port = listener.getsockname()
+        pending = [socket.socket() for _ in range(4)]
+        for one in pending:
             one.setblocking(False)
             one.connect_ex((host, port))
-        assert Line(f"{host}:{port}").send() == NOT_RUN
-        for one in waiting:
+        assert EndpointClient(f"{host}:{port}").send() == NOT_RUN
+        for one in pending:
             one.close()
 
 
 def test_shed_before_running_is_not_run(start: Start) -> None:
-    """The upstream's own word before running is believed."""
-    assert Line(start(faulty_upstreams.shed).address).send() == NOT_RUN
+    """Accept the "not run" of an upstream that sheds the call."""
+    assert (
+        EndpointClient(start(faulty_upstreams.shed).address).send() == NOT_RUN
+    )
 
 
-def test_not_run_beside_an_answer_is_not_believed(start: Start) -> None:
-    """An upstream answers 200 and says "not run" at once.
+def test_not_run_with_status_200_is_ignored(start: Start) -> None:
+    """Ignore the "not run" of an upstream that also answers 200.
 
-    Called "not run", the loan would be sent to another library while this
-    one has packed the book. The caller gets the answer, and no word of
-    the entry's own that the upstream made up.
+    Otherwise the loan would be sent to another library after this one has
+    packed the book. The caller gets the answer without the header, which
+    only an entry may send to it.
     """
-    line = Line(start(faulty_upstreams.lie_about_not_run).address)
-    assert line.send() == ANSWERED
-    assert line.body() == b"lent"
-    names = [name for name, _ in line.reply.headers()]
+    client = EndpointClient(start(faulty_upstreams.lie_about_not_run).address)
+    assert client.send() == ANSWERED
+    assert client.body() == b"lent"
+    names = [name for name, _ in client.reply.headers()]
     assert "Nutmegchute-Not-Run" not in names
 
 
@@ -114,13 +116,13 @@
     ],
 )
 def test_broken_answer_is_lost(start: Start, behaviour: Behaviour) -> None:
-    """From the first byte written on a request may have run.
+    """Report "lost" if the answer breaks after the request was written.
 
-    The upstream has read the whole loan when its answer breaks. "Not run"
-    would be a guess, and a wrong one has two libraries pack one book.
+    The upstream has read the whole loan and may have run it. If "not run"
+    were reported, two libraries could pack one book.
     """
     upstream = start(behaviour)
-    assert Line(upstream.address).send() == LOST
+    assert EndpointClient(upstream.address).send() == LOST
     assert len(upstream.requests) == 1
 
 
@@ -133,155 +135,161 @@
         (faulty_upstreams.stay_silent, TIMED_OUT),
     ],
 )
-def test_how_an_attempt_was_lost(
+def test_reason_of_a_lost_attempt(
     start: Start, behaviour: Behaviour, loss: str
 ) -> None:
-    """Tell a closed connection from a wait that was given up."""
-    line = Line(start(behaviour).address)
-    assert line.send(remaining_s=SHORT_S) == LOST
-    assert line.reply.loss == loss
+    """Distinguish a closed connection, a bad answer and a time-out."""
+    client = EndpointClient(start(behaviour).address)
+    assert client.send(remaining_s=SHORT_S) == LOST
+    assert client.reply.loss == loss
 
 
 def test_closed_connection_is_no_crash(start: Start) -> None:
-    """Guard against taking an endpoint that lives on for a crashed one."""
+    """Do not take a closed connection for a crash of the endpoint.
+
+    Only an address that refuses connections shows that its process ended.
+    """
     upstream = start(faulty_upstreams.reset_at_once)
-    line = Line(upstream.address)
-    assert line.send() == LOST
-    assert line.reply.loss == CLOSED
-    assert not line.sender.refuses_connections(upstream.address)
-    assert line.sender.refuses_connections(free_address())
+    client = EndpointClient(upstream.address)
+    assert client.send() == LOST
+    assert client.reply.loss == CLOSED
+    assert not client.sender.refuses_connections(upstream.address)
+    assert client.sender.refuses_connections(free_address())
 
 
 @pytest.mark.parametrize(
     "behaviour",
     [faulty_upstreams.half_a_long_body, faulty_upstreams.half_the_chunks],
 )
-def test_cut_of_a_long_answer_is_an_error(
+def test_break_of_a_long_answer_is_an_error(
     start: Start, behaviour: Behaviour
 ) -> None:
-    """A long answer is passed on as it comes; its cut must show.
+    """Raise an error if a long answer breaks while it is streamed.
 
-    Ended quietly, the caller would take half a catalogue for the whole.
+    Without it the caller would take half a catalogue for the whole.
     """
-    line = Line(start(behaviour).address)
-    assert line.send() == ANSWERED
+    client = EndpointClient(start(behaviour).address)
+    assert client.send() == ANSWERED
     with pytest.raises(BrokenAnswerError):
-        line.body()
+        client.body()
 
 
 def test_silent_upstream_is_lost_at_the_deadline(start: Start) -> None:
-    """The request is with the upstream, so nobody knows."""
+    """Report "lost" at the deadline, as the request may have run."""
     upstream = start(faulty_upstreams.stay_silent)
-    assert Line(upstream.address).send(remaining_s=SHORT_S) == LOST
+    assert EndpointClient(upstream.address).send(remaining_s=SHORT_S) == LOST
     assert upstream.closed.wait(LONG_S)
 
 
-def test_late_answer_reaches_nobody(start: Start) -> None:
-    """An answer that comes after the entry gave up is never passed on.
+def test_late_answer_is_never_delivered(start: Start) -> None:
+    """Never deliver an answer that arrives after the deadline.
 
-    The first call runs out of time. Its answer is released, then the
-    second call is sent: it must get its own answer, so the first one's
-    connection has to be closed and not pooled.
+    The first call times out and its answer is sent afterwards. The second
+    call must get its own answer, so the connection of the first must be
+    closed, not pooled.
     """
     upstream = start(faulty_upstreams.answer_late)
-    line = Line(upstream.address)
-    assert line.send("/first", SHORT_S) == LOST
+    client = EndpointClient(upstream.address)
+    assert client.send("/first", SHORT_S) == LOST
     upstream.release.set()
-    assert line.send("/second") == ANSWERED
-    assert line.body() == b"/second"
+    assert client.send("/second") == ANSWERED
+    assert client.body() == b"/second"
     assert upstream.connections == 2
 
 
-def test_second_answer_reaches_nobody(start: Start) -> None:
-    """An upstream sends two answers to one request.
+def test_second_answer_is_never_delivered(start: Start) -> None:
+    """Close the connection of an upstream that answers a request twice.
 
-    Left in the connection, the second would answer the next caller with
-    another patron's loans. The connection is closed instead.
+    If it were reused, the next caller would get the second answer, with
+    another patron's loans.
     """
     upstream = start(faulty_upstreams.two_answers)
-    line = Line(upstream.address)
+    client = EndpointClient(upstream.address)
     for number in range(5):
-        assert line.send(f"/own-{number}") == ANSWERED
-        assert line.body() == f"/own-{number}".encode()
+        assert client.send(f"/own-{number}") == ANSWERED
+        assert client.body() == f"/own-{number}".encode()
     assert upstream.connections == 5
 
 
 def test_closed_idle_connection_is_not_used(start: Start) -> None:
-    """An upstream closes while idle; the next loan goes on a new one."""
+    """Open a new connection if the upstream has closed the idle one."""
     upstream = start(faulty_upstreams.close_when_idle)
-    line = Line(upstream.address)
+    client = EndpointClient(upstream.address)
     for _ in range(3):
-        assert line.send() == ANSWERED
-        assert line.body() == b"once"
+        assert client.send() == ANSWERED
+        assert client.body() == b"once"
         assert upstream.left.wait(LONG_S)
         upstream.left.clear()
     assert len(upstream.requests) == upstream.connections == 3
 
 
 def test_closed_while_written_is_lost_and_not_resent(start: Start) -> None:
-    """A kept connection is closed just as the second loan is written.
+    """Report "lost" if a pooled connection closes as a loan is written.
 
-    Whether the upstream read it nobody can tell, so the outcome is
-    "lost", and the library must not quietly send it again.
+    The upstream may have read the loan, so the HTTP library must not resend
+    it on its own.
     """
     upstream = start(faulty_upstreams.close_as_written)
-    line = Line(upstream.address)
-    assert line.send() == ANSWERED
-    assert line.body() == b"once"
-    assert line.send() == LOST
+    client = EndpointClient(upstream.address)
+    assert client.send() == ANSWERED
+    assert client.body() == b"once"
+    assert client.send() == LOST
     assert len(upstream.requests) == 2
 
 
-def test_kept_connection_serves_again(start: Start) -> None:
-    """Clean exchanges share one connection, chunked ones too."""
+def test_idle_connection_is_reused(start: Start) -> None:
+    """Reuse a connection after complete answers, chunked ones too."""
     for behaviour in (faulty_upstreams.answer, faulty_upstreams.chunks):
         upstream = start(behaviour)
-        line = Line(upstream.address)
+        client = EndpointClient(upstream.address)
         for _ in range(3):
-            assert line.send() == ANSWERED
-            assert line.body()
+            assert client.send() == ANSWERED
+            assert client.body()
         assert upstream.connections == 1
 
 
-def test_end_reaches_a_waiting_upstream(start: Start) -> None:
-    """A cancelled attempt ends at once and its upstream sees the close."""
+def test_cancelled_attempt_closes_its_connection(start: Start) -> None:
+    """End a cancelled attempt at once and close its connection."""
     upstream = start(faulty_upstreams.stay_silent)
-    line = Line(upstream.address)
+    client = EndpointClient(upstream.address)
     outcomes: list[str] = []
-    thread = threading.Thread(target=lambda: outcomes.append(line.send()))
+    thread = threading.Thread(target=lambda: outcomes.append(client.send()))
     thread.start()
     while not upstream.requests:
         threading.Event().wait(0.01)
-    line.exchange.end()
+    client.exchange.end()
     thread.join(LONG_S)
     assert outcomes == [CANCELLED]
     assert upstream.closed.wait(LONG_S)
 
 
-def test_end_after_the_answer_harms_no_other_call(start: Start) -> None:
-    """An order to end that comes late must not reach the next exchange."""
+def test_late_end_does_not_affect_other_calls(start: Start) -> None:
+    """Ending a completed exchange must not affect the next one."""
     upstream = start(faulty_upstreams.answer)
-    line = Line(upstream.address)
-    assert line.send("/one") == ANSWERED
-    old = line.exchange
-    assert line.body() == b"/one"
-    assert line.send("/two") == ANSWERED
-    old.end()
-    assert line.body() == b"/two"
-    assert line.send("/three") == ANSWERED
+    client = EndpointClient(upstream.address)
+    assert client.send("/one") == ANSWERED
+    completed = client.exchange
+    assert client.body() == b"/one"
+    assert client.send("/two") == ANSWERED
+    completed.end()
+    assert client.body() == b"/two"
+    assert client.send("/three") == ANSWERED
     assert upstream.connections == 1
 
 
-def test_answer_without_end_mark_is_not_called_framed(start: Start) -> None:
-    """Only its close ends it, so a cut cannot be told from an end."""
-    line = Line(start(faulty_upstreams.unframed).address)
-    assert line.send() == ANSWERED
-    assert not line.reply.is_framed
-    assert line.body() == b"until the end"
+def test_answer_without_length_is_not_framed(start: Start) -> None:
+    """Report an answer that only a close ends as not framed.
+
+    Its end cannot be told from a broken connection.
+    """
+    client = EndpointClient(start(faulty_upstreams.unframed).address)
+    assert client.send() == ANSWERED
+    assert not client.reply.is_framed
+    assert client.body() == b"until the end"
 
 
 def test_folded_header_stays_one_header(start: Start) -> None:
-    """A folded line passed on as it came would become a second header."""
-    line = Line(start(faulty_upstreams.split_header).address)
-    assert line.send() == ANSWERED
-    assert ("X-Note", "a Set-Cookie: b") in line.reply.headers()
+    """Join a folded header; its second line would become a header."""
+    client = EndpointClient(start(faulty_upstreams.split_header).address)
+    assert client.send() == ANSWERED
+    assert ("X-Note", "a Set-Cookie: b") in client.reply.headers()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Stop an entry under load, in haste and against a hanging upstream."""
+"""Test the stop of an entry under load and with a hanging upstream."""
 
 import signal
 import threading
@@ -27,12 +27,12 @@
 SERVICE_MS = 50
 KEEP_S = 1.0
 DEADLINE_MS = 60000
-GONE = "nobody listens"
+NOT_LISTENING = "nobody listens"
 
 
 @pytest.fixture
 def build(tmp_path: Path) -> Iterator[Any]:
-    """Build a replica and an entry with settings given by the test."""
+    """Start a replica and entries with the settings of the test."""
     cluster = Cluster(tmp_path, ["surco"])
 
     def one(entries: int = 1, **extra: Any) -> Cluster:
@@ -49,22 +49,22 @@
 def call(
     pool: urllib3.PoolManager, entry: Process, service: str = "catalogo"
 ) -> str:
-    """Send a lookup and say what became of it."""
+    """Send a lookup and return its outcome."""
     url = f"http://{entry.address}/call/{service}/shelf"
     try:
         answer = pool.request("GET", url)
     except NewConnectionError:
-        return GONE
+        return NOT_LISTENING
     except HTTPError as error:
         return f"cut: {error}"
     return answer.headers.get("Nutmegchute-Outcome", ANSWERED)
 
 
-def hang(cluster: Cluster) -> FaultyUpstream:
-    """Announce an upstream that takes calls and never answers."""
+def add_hanging_upstream(cluster: Cluster) -> FaultyUpstream:
+    """Announce an upstream that accepts calls and never answers."""
     upstream = FaultyUpstream(faulty_upstreams.stay_silent)
     entry = cluster.entries[0]
-    word = {
+    announcement = {
         "service": "catalogo",
         "endpoint": upstream.address,
         "availability_zone": "surco",
@@ -74,20 +74,22 @@
     url = f"http://{entry.address}/announce"
     pool = urllib3.PoolManager(retries=False)
 
-    def taken() -> bool:
-        answer = pool.request("POST", url, body=msgspec.json.encode(word))
+    def is_accepted() -> bool:
+        answer = pool.request(
+            "POST", url, body=msgspec.json.encode(announcement)
+        )
         return answer.status == 200
 
-    cluster.wait_for("the announcement", taken)
+    cluster.wait_for("the announcement", is_accepted)
     return upstream
 
 
-def test_stop_under_load_cuts_nothing(build: Any) -> None:
-    """Callers go on calling over kept connections while an entry stops.
+def test_stop_under_load_loses_no_call(build: Any) -> None:
+    """Answer or refuse every call while an entry stops under load.
 
-    They ask for entries again when their answer is old, as callers must.
-    Each call is answered or refused as not run, none is cut, and the
-    entry ends by itself while they go on with the other one.
+    Callers use kept connections and refresh their list of entries when it
+    expires. No call may be cut off or lost, and the entry must end by itself
+    while the callers continue with the other one.
     """
     cluster = build(entries=2)
     entry = cluster.entries[0]
@@ -96,7 +98,7 @@
     pool = urllib3.PoolManager(retries=False, timeout=20.0)
     for one in cluster.entries:
         cluster.wait_for("it", lambda e=one: call(pool, e) == ANSWERED)
-    used = threading.Event()
+    entry_used = threading.Event()
 
     def keep_calling(number: int) -> set[str]:
         caller = FakeCaller(seeds)
@@ -108,12 +110,12 @@
             shot = caller.shoot(name, "catalogo", "GET", "/shelf")
             outcomes.add(shot.outcome)
             if shot.entry == entry.address:
-                used.set()
+                entry_used.set()
         return outcomes
 
     with ThreadPoolExecutor(CALLERS) as threads:
         runs = [threads.submit(keep_calling, n) for n in range(CALLERS)]
-        assert used.wait(20.0)
+        assert entry_used.wait(20.0)
         entry.signal(signal.SIGTERM)
         seen = set().union(*[run.result() for run in runs])
     assert seen <= {ANSWERED, REFUSED}
@@ -121,8 +123,8 @@
     assert entry.wait() == 0
 
 
-def test_address_is_served_while_callers_may_keep_it(build: Any) -> None:
-    """A caller given the address just before connects after SIGTERM."""
+def test_address_is_served_while_callers_may_cache_it(build: Any) -> None:
+    """Serve a caller that got the address just before SIGTERM."""
     cluster = build()
     entry = cluster.entries[0]
     cluster.add_upstream("catalogo", service_ms=1)
@@ -139,18 +141,16 @@
 
 
 @pytest.mark.parametrize("by", ["second signal", "limit"])
-def test_hanging_call_cannot_hold_the_stop_for_ever(
-    build: Any, by: str
-) -> None:
-    """An upstream hangs with a call; the stop ends all the same.
+def test_hanging_call_does_not_block_the_stop(build: Any, by: str) -> None:
+    """End the stop despite a call that hangs at its upstream.
 
-    A second SIGTERM asks for it now, the limit does so by itself. The
-    call was sent, so its caller is told "unknown", never "not run".
+    A second SIGTERM or the shutdown limit ends it. The call was sent, so its
+    outcome must be "unknown", never "not run".
     """
     limit_s = KEEP_S + 0.5 if by == "limit" else 60.0
     cluster = build(shutdown_limit_s=limit_s)
     entry = cluster.entries[0]
-    upstream = hang(cluster)
+    upstream = add_hanging_upstream(cluster)
     pool = urllib3.PoolManager(retries=False, timeout=30.0)
     with ThreadPoolExecutor(1) as threads:
         hanging = threads.submit(call, pool, entry)
