--- a/packages/daemon/nutmegchute_daemon/documents.py
+++ b/packages/daemon/nutmegchute_daemon/documents.py
@@ -1,7 +1,7 @@
-"""Say which settings there are, their defaults and what values they take.
+"""Define the settings, their defaults and the values they allow.
 
-Written as types that are read by the JSON library: loading a library for
-schemas took a quarter of a router's start.
+The settings are types that msgspec validates. Importing a library for JSON
+schemas would take a quarter of a router's start.
 """
 
 import re
@@ -17,28 +17,30 @@
 NAME_PATTERN = "^[a-z][a-z0-9-]*$"
 DIGEST_PATTERN = "^[0-9a-f]{64}$"
 
-# What the patterns stand for, for those who got one wrong.
-MEANINGS = {
+# Descriptions of the patterns for error messages.
+PATTERN_DESCRIPTIONS = {
     ADDRESS_PATTERN: "an address, IP:PORT",
-    NAME_PATTERN: "a name of small letters, digits and dashes",
+    NAME_PATTERN: "a name of lowercase letters, digits and hyphens",
     DIGEST_PATTERN: "a SHA-256 digest of 64 hex digits",
 }
 
 Address = Annotated[str, Meta(pattern=ADDRESS_PATTERN)]
 Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
 Digest = Annotated[str, Meta(pattern=DIGEST_PATTERN)]
-Count = Annotated[int, Meta(ge=0)]
-Number = Annotated[int, Meta(ge=1)]
-Amount = Annotated[float, Meta(ge=0)]
-Span = Annotated[float, Meta(gt=0)]
-
-_PLACE = re.compile(r"(?P<what>.+) - at `\$\.?(?P<place>[^`]*)`", re.DOTALL)
-_STEP = re.compile(r"[^.\[\]]+")
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+
+_LOCATED_ERROR = re.compile(
+    r"(?P<what>.+) - at `\$\.?(?P<place>[^`]*)`", re.DOTALL
+)
+_KEY = re.compile(r"[^.\[\]]+")
 _TOO_SMALL = re.compile(r"Expected `\w+` >= (?P<least>\S+)")
 
 
 class PeerDocument(Struct, forbid_unknown_fields=True):
-    """Name one control replica and where it listens."""
+    """Hold the name and addresses of a listed control replica."""
 
     name: Name
     grpc_address: Address
@@ -46,7 +48,7 @@
 
 
 class OperatorDocument(Struct, forbid_unknown_fields=True):
-    """Name an operator, the digest of the key and the open branches."""
+    """Hold an operator's name, key digest and permitted branches."""
 
     name: Name
     key_sha256: Digest
@@ -54,7 +56,7 @@
 
 
 class SettingsDocument(Struct, forbid_unknown_fields=True):
-    """Hold a settings file; docs/settings.rst tells what each is for."""
+    """Hold a settings file; docs/settings.rst describes each setting."""
 
     role: Literal["entry", "router", "control"]
     name: Name
@@ -68,28 +70,28 @@
     operators: list[OperatorDocument] = []
     statsd_address: Address | None = "127.0.0.1:8125"
     http_threads: Annotated[int, Meta(ge=2, le=512)] = 48
-    cpus: list[Count] = []
+    cpus: list[NonNegativeInt] = []
     log_level: Literal["debug", "info", "warning", "error"] = "info"
-    request_body_bytes: Count = 1048576
-    entries_keep_s: Span = 5.0
-    shutdown_limit_s: Span = 60.0
-    entries_answer: Number = 4
+    request_body_bytes: NonNegativeInt = 1048576
+    entries_keep_s: PositiveFloat = 5.0
+    shutdown_limit_s: PositiveFloat = 60.0
+    entries_answer: PositiveInt = 4
     seeds: list[Address] = []
     founding: bool = False
     directory_address: Address | None = None
     health_address: Address | None = None
     metrics_address: Address | None = None
     extra_ratio: Annotated[float, Meta(ge=0, le=1)] = 0.08
-    extra_fixed: Amount = 0.0
-    probes_per_s: Amount = 0.0
-    send_on_s: Amount = 3.0
+    extra_fixed: NonNegativeFloat = 0.0
+    probes_per_s: NonNegativeFloat = 0.0
+    send_on_s: NonNegativeFloat = 3.0
     warm_up_overage: Annotated[float, Meta(ge=1)] = 1.0
-    warm_up_slack_per_s: Amount = 0.0
-    grace_s: Span | None = None
+    warm_up_slack_per_s: NonNegativeFloat = 0.0
+    grace_s: PositiveFloat | None = None
 
 
 def defaults() -> dict[str, Any]:
-    """Give the default of each setting that may be left out."""
+    """Return the default of each optional setting."""
     found = {}
     for field in msgspec.structs.fields(SettingsDocument):
         if field.required:
@@ -101,28 +103,28 @@
     return found
 
 
-def find_fault(document: Any) -> str | None:
-    """Name the first wrong place and what is allowed there, if any is."""
+def find_error(document: Any) -> str | None:
+    """Return the first invalid setting and what it allows, if any."""
     try:
         msgspec.convert(document, SettingsDocument)
     except msgspec.ValidationError as error:
-        return _explain(str(error), document)
+        return _describe_error(str(error), document)
     return None
 
 
-def _explain(message: str, document: Any) -> str:
-    found = _PLACE.fullmatch(message)
+def _describe_error(message: str, document: Any) -> str:
+    found = _LOCATED_ERROR.fullmatch(message)
     if found is None:
         return f"(top): {message}"
-    steps = _STEP.findall(found["place"])
+    keys = _KEY.findall(found["place"])
     value = document
-    for step in steps:
-        value = value[int(step) if isinstance(value, list) else step]
-    place = "/".join(steps)
+    for key in keys:
+        value = value[int(key) if isinstance(value, list) else key]
+    place = "/".join(keys)
     what = found["what"]
-    for pattern, meaning in MEANINGS.items():
+    for pattern, description in PATTERN_DESCRIPTIONS.items():
         if what.endswith(f"matching regex {pattern!r}"):
-            return f"{place}: {value!r} is not {meaning}"
+            return f"{place}: {value!r} is not {description}"
     too_small = _TOO_SMALL.fullmatch(what)
     if too_small is not None:
         return f"{place}: {value!r} is less than {too_small['least']}"
--- a/packages/daemon/nutmegchute_daemon/settings.py
+++ b/packages/daemon/nutmegchute_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Read, check and complete the daemon's settings."""
+"""Read and validate the daemon's settings and apply defaults."""
 
 import hashlib
 import hmac
@@ -12,7 +12,7 @@
 from returns.result import Success
 
 from .documents import defaults
-from .documents import find_fault
+from .documents import find_error
 from .errors import SettingsError
 
 DEFAULTS = defaults()
@@ -22,7 +22,7 @@
 
 
 class ControlPeer:
-    """Name one control replica and where it listens."""
+    """Hold the name and addresses of a listed control replica."""
 
     __slots__ = ("_grpc_address", "_http_address", "_name")
 
@@ -33,22 +33,22 @@
 
     @property
     def name(self) -> str:
-        """Name the replica."""
+        """Return the replica's name."""
         return self._name
 
     @property
     def grpc_address(self) -> str:
-        """Give the address other daemons reach it at."""
+        """Return the address where other daemons reach the replica."""
         return self._grpc_address
 
     @property
     def http_address(self) -> str:
-        """Give the address operators reach it at."""
+        """Return the address where operators reach the replica."""
         return self._http_address
 
 
 class Operator:
-    """Name an operator, the digest of the key and the open branches."""
+    """Hold an operator's name, key digest and permitted branches."""
 
     __slots__ = ("_branches", "_key_sha256", "_name")
 
@@ -59,21 +59,21 @@
 
     @property
     def name(self) -> str:
-        """Name the operator."""
+        """Return the operator's name."""
         return self._name
 
     @property
     def key_sha256(self) -> str:
-        """Give the digest of the operator's key."""
+        """Return the SHA-256 digest of the operator's key, in hex."""
         return self._key_sha256
 
     def may_change(self, team: str) -> bool:
-        """Tell whether the key opens the team's branch."""
+        """Return whether the operator may change the team's branch."""
         return "*" in self._branches or team in self._branches
 
 
 class Settings:
-    """Hold checked settings, defaults filled in."""
+    """Hold validated settings with defaults applied."""
 
     __slots__ = ("_control", "_operators", "_path", "_values")
 
@@ -87,57 +87,57 @@
 
     @property
     def path(self) -> Path | None:
-        """Give the file that the settings were read from."""
+        """Return the file that the settings were read from, if any."""
         return self._path
 
     @property
     def role(self) -> str:
-        """Name the role, entry or control."""
+        """Return the role: entry, router or control."""
         return str(self._values["role"])
 
     @property
     def name(self) -> str:
-        """Name this daemon, unique in the deployment."""
+        """Return the daemon's name, unique in the deployment."""
         return str(self._values["name"])
 
     @property
     def availability_zone(self) -> str:
-        """Name the availability zone of the vm."""
+        """Return the availability zone of the vm."""
         return str(self._values["availability_zone"])
 
     @property
     def http_address(self) -> str:
-        """Give the address for callers, upstreams and operators."""
+        """Return the address for callers, upstreams and operators."""
         return str(self._values["http_address"])
 
     @property
     def grpc_address(self) -> str:
-        """Give the address for other daemons."""
+        """Return the address for other daemons."""
         return str(self._values["grpc_address"])
 
     @property
     def control(self) -> list[ControlPeer]:
-        """List the control replicas."""
+        """Return the listed control replicas."""
         return self._control
 
     @property
     def entries(self) -> list[str]:
-        """List the gRPC addresses of the entries to gossip with."""
+        """Return the gRPC addresses of the entries to gossip with."""
         return list(self._values["entries"])
 
     @property
     def data_folder(self) -> Path | None:
-        """Give the folder that holds everything durable."""
+        """Return the folder of all durable data, if one is set."""
         folder = self._values["data_folder"]
         return Path(folder) if folder is not None else None
 
     @property
     def operators(self) -> list[Operator]:
-        """List the operators known from the settings."""
+        """Return the operators that the settings list."""
         return self._operators
 
     def find_operator(self, key: str) -> Operator | None:
-        """Return the operator whose key this is."""
+        """Return the operator with this key, if any."""
         digest = hashlib.sha256(key.encode()).hexdigest()
         for operator in self._operators:
             if hmac.compare_digest(operator.key_sha256, digest):
@@ -146,40 +146,41 @@
 
     @property
     def statsd_address(self) -> str | None:
-        """Give the UDP address that metrics go to, if any."""
+        """Return the UDP address that metrics are sent to, if any."""
         return self._address("statsd_address")
 
     @property
     def cpus(self) -> list[int]:
-        """List the processors to stay on; none for all."""
+        """Return the CPUs the process is restricted to; empty for all."""
         return list(self._values["cpus"])
 
     @property
     def http_threads(self) -> int:
-        """Give the number of HTTP worker threads."""
+        """Return the number of HTTP worker threads."""
         return int(self._values["http_threads"])
 
     @property
     def log_level(self) -> str:
-        """Name the lowest level that is logged."""
+        """Return the lowest level that is logged."""
         return str(self._values["log_level"])
 
     @property
     def request_body_bytes(self) -> int:
-        """Give the largest request body taken, in bytes."""
+        """Return the largest accepted request body, in bytes."""
         return int(self._values["request_body_bytes"])
 
     @property
     def entries_keep_s(self) -> float:
-        """Give how long callers may keep an answer, in seconds."""
+        """Return how long callers may cache a list of entries, in seconds."""
         return float(self._values["entries_keep_s"])
 
     @property
     def shutdown_limit_s(self) -> float:
-        """Give the most that a graceful shutdown may take, in seconds.
+        """Return the time limit of a graceful shutdown, in seconds.
 
-        Where the vm's service manager kills after ``grace_s``, work goes
-        on for five sixths of that; the rest is for telling what is cut.
+        Where the vm's service manager kills the process after ``grace_s``,
+        the limit is five sixths of it. The remaining time is for answering
+        the calls that are aborted.
         """
         if self._values["grace_s"] is not None:
             return float(self._values["grace_s"]) * GRACE_SHARE
@@ -187,15 +188,15 @@
 
     @property
     def entries_answer(self) -> int:
-        """Give the most entries named to one caller."""
+        """Return the maximum number of entries in an answer to a caller."""
         return int(self._values["entries_answer"])
 
     @property
     def seeds(self) -> list[str]:
-        """List the gRPC addresses of the control replicas to ask first.
+        """Return the gRPC addresses of the control replicas to try first.
 
-        Only the IP numbers of the seeds count: each is asked at the port
-        that this daemon itself has for other daemons.
+        Only the IP addresses of the seeds are used, with the port of this
+        daemon's own ``grpc_address``.
         """
         port = split_address(self.grpc_address)[1]
         return [f"{split_address(one)[0]}:{port}" for one in self._seeds]
@@ -206,27 +207,27 @@
 
     @property
     def replicas(self) -> list[str]:
-        """List the gRPC addresses of the control replicas known at first."""
+        """Return the gRPC addresses of the initially known replicas."""
         return self.seeds or [peer.grpc_address for peer in self._control]
 
     @property
     def founding(self) -> bool:
-        """Tell whether the deployment starts for the first time."""
+        """Return whether the deployment starts for the first time."""
         return bool(self._values["founding"]) or not self._seeds
 
     @property
     def directory_address(self) -> str | None:
-        """Give where callers ask for entries, where control answers them."""
+        """Return the address where control lists entries for callers."""
         return self._address("directory_address")
 
     @property
     def health_address(self) -> str | None:
-        """Give where an entry tells whether it can serve."""
+        """Return the address of the health check, if any."""
         return self._address("health_address")
 
     @property
     def metrics_address(self) -> str | None:
-        """Give where metrics are served as text."""
+        """Return the address where metrics are served as text, if any."""
         return self._address("metrics_address")
 
     def _address(self, name: str) -> str | None:
@@ -235,36 +236,36 @@
 
     @property
     def extra_ratio(self) -> float:
-        """Give the extra sends that each call of a service earns."""
+        """Return the extra sends that each call of a service earns."""
         return float(self._values["extra_ratio"])
 
     @property
     def extra_fixed(self) -> float:
-        """Give the extra sends of a service over all entries; 0: unset."""
+        """Return the extra sends of a service over all entries; 0 if unset."""
         return float(self._values["extra_fixed"])
 
     @property
     def probes_per_s(self) -> float:
-        """Give how often all routers may ask one endpoint, a second."""
+        """Return the load queries of all routers per second and endpoint."""
         return float(self._values["probes_per_s"])
 
     @property
     def send_on_s(self) -> float:
-        """Give for how long a stopping router still sends new calls on."""
+        """Return how long a stopping router forwards new calls, in seconds."""
         return float(self._values["send_on_s"])
 
     @property
     def warm_up_overage(self) -> float:
-        """Give how many times what it declares a cold endpoint bears."""
+        """Return the factor by which a cold endpoint may exceed its rate."""
         return float(self._values["warm_up_overage"])
 
     @property
     def warm_up_slack_per_s(self) -> float:
-        """Give the calls a second that it bears besides."""
+        """Return the calls per second added to a cold endpoint's rate."""
         return float(self._values["warm_up_slack_per_s"])
 
     def warnings(self) -> list[str]:
-        """List what is allowed and still likely to be a mistake."""
+        """Return a text for each valid setting that is likely a mistake."""
         found = []
         voters = len(self._control)
         if voters and voters % 2 == 0:
@@ -273,16 +274,16 @@
                 f"{voters - 1}"
             )
         if voters == 1:
-            found.append("control: one replica; its loss stops all changes")
+            found.append("control: one replica; its loss prevents all changes")
         if voters > MAX_CONTROL_VMS:
             found.append(
                 f"control: {voters} replicas; at most {MAX_CONTROL_VMS} vms "
-                "are meant to be set aside"
+                "should be reserved for control"
             )
         if self._seeds:
             return found
         if self.role == "control" and not self._operators:
-            found.append("operators: none, so nobody can change anything")
+            found.append("operators: none, so no change can be authorised")
         if self.role == "entry":
             found.extend(self._entry_warnings())
         return found
@@ -290,11 +291,13 @@
     def _entry_warnings(self) -> list[str]:
         found = []
         if not self._control:
-            found.append("control: none, so no service will be known")
+            found.append(
+                "control: none, so this entry will receive no services"
+            )
         if not self._values["entries"]:
             found.append(
                 "entries: none, so this entry will know no other entry and "
-                "no upstream that announced itself elsewhere"
+                "no upstream announced at another entry"
             )
         if not self._operators:
             found.append("operators: none, so nutmegchute drain is refused")
@@ -307,18 +310,18 @@
 
 
 def read_settings(path: Path) -> Result[Settings, SettingsError]:
-    """Read a settings file; the failure is one clear line."""
+    """Read and validate a settings file; a failure is a one-line text."""
     try:
         document = msgspec.json.decode(path.read_bytes())
     except OSError as error:
         return Failure(SettingsError(f"{path}: {error.strerror}"))
     except msgspec.DecodeError as error:
         return Failure(SettingsError(f"{path}: not JSON: {error}"))
-    fault = find_fault(document)
-    if fault is not None:
-        return Failure(SettingsError(f"{path}: {fault}"))
+    error_text = find_error(document)
+    if error_text is not None:
+        return Failure(SettingsError(f"{path}: {error_text}"))
     settings = Settings(document, path)
-    problem = _contradiction(settings)
+    problem = _find_contradiction(settings)
     if problem is not None:
         return Failure(SettingsError(f"{path}: {problem}"))
     return Success(settings)
@@ -330,16 +333,19 @@
     return host, int(port)
 
 
-def _contradiction(settings: Settings) -> str | None:
-    for place, address in _addresses(settings):
+def _find_contradiction(settings: Settings) -> str | None:
+    for place, address in _list_addresses(settings):
         if not _is_address(address):
-            return f"{place}: {address!r} is not an IP number and a port"
+            return f"{place}: {address!r} is not an IP address and a port"
     for place, one in (
         ("http_address", settings.http_address),
         ("grpc_address", settings.grpc_address),
     ):
         if ipaddress.IPv4Address(split_address(one)[0]).is_unspecified:
-            return f"{place}: {one!r} cannot be given to others; name an IP"
+            return (
+                f"{place}: {one!r} cannot be reached from other vms; "
+                "use a specific IP address"
+            )
     if settings.http_address == settings.grpc_address:
         return "grpc_address: must differ from http_address"
     names = [peer.name for peer in settings.control]
@@ -353,10 +359,10 @@
         return "data_folder: the control role needs a folder"
     if settings.seeds:
         return None
-    return _control_contradiction(settings)
+    return _find_control_contradiction(settings)
 
 
-def _control_contradiction(settings: Settings) -> str | None:
+def _find_control_contradiction(settings: Settings) -> str | None:
     for peer in settings.control:
         if peer.name != settings.name:
             continue
@@ -369,7 +375,7 @@
     return f"control: does not list this replica, {settings.name!r}"
 
 
-def _addresses(settings: Settings) -> list[tuple[str, str]]:
+def _list_addresses(settings: Settings) -> list[tuple[str, str]]:
     found = [
         ("http_address", settings.http_address),
         ("grpc_address", settings.grpc_address),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Test that wrong settings end in one clear line and start nothing."""
+"""Test that invalid settings give a one-line error and start nothing."""
 
 import os
 import re
@@ -42,33 +42,33 @@
 
 
 def write(folder: Path, **values: Any) -> Path:
-    """Write settings to a file."""
+    """Write a settings file."""
     path = folder / "settings.json"
     path.write_bytes(msgspec.json.encode({**GOOD, **values}))
     return path
 
 
 def read(folder: Path, **values: Any) -> Any:
-    """Write settings and read them."""
+    """Write a settings file and read it."""
     return read_settings(write(folder, **values))
 
 
 def start(path: Path) -> subprocess.Popen[str]:
-    """Start a daemon from a settings file."""
+    """Start a daemon with a settings file."""
     command = [sys.executable, "-m", "nutmegchute_daemon", str(path)]
     pipe = subprocess.PIPE
     return subprocess.Popen(command, stdout=pipe, stderr=pipe, text=True)
 
 
-def test_good_settings_are_completed(tmp_path: Path) -> None:
-    """Fill in the defaults."""
+def test_defaults_are_applied(tmp_path: Path) -> None:
+    """Settings that are left out take their defaults."""
     settings = read(tmp_path)
     assert isinstance(settings, Success)
     assert settings.unwrap().http_threads > 0
 
 
-def test_wrong_place_is_named(tmp_path: Path) -> None:
-    """Name file, place and what is allowed."""
+def test_invalid_setting_is_named(tmp_path: Path) -> None:
+    """The error names the file, the setting and what it allows."""
     settings = read(tmp_path, http_threads=0)
     assert isinstance(settings, Failure)
     line = str(settings.failure())
@@ -76,8 +76,8 @@
     assert "\n" not in line
 
 
-def test_control_needs_a_folder(tmp_path: Path) -> None:
-    """Refuse a control role that could not keep what it accepts."""
+def test_control_needs_a_data_folder(tmp_path: Path) -> None:
+    """A control replica without a data folder could not store changes."""
     settings = read(tmp_path, role="control")
     assert "data_folder" in str(settings.failure())
 
@@ -87,7 +87,7 @@
     [
         ({"http_address": "10.0.0.300:80"}, "http_address: '10.0.0.300:80'"),
         ({"http_address": "host:80"}, "http_address: 'host:80' is not an a"),
-        ({"http_address": "0.0.0.0:80"}, "cannot be given to others"),
+        ({"http_address": "0.0.0.0:80"}, "cannot be reached from other vms"),
         ({"grpc_address": "127.0.0.1:8101"}, "must differ"),
         ({"entries": ["10.0.0.1:0"]}, "entries: '10.0.0.1:0'"),
         ({"control": [PEER, PEER]}, "control: lists a name twice"),
@@ -98,12 +98,12 @@
 def test_contradictions_are_refused(
     tmp_path: Path, values: dict[str, Any], line: str
 ) -> None:
-    """Refuse what could never work, and say where."""
+    """Settings that could never work are refused by name."""
     assert line in str(read(tmp_path, **values).failure())
 
 
 def test_replica_must_be_listed_at_its_address(tmp_path: Path) -> None:
-    """Refuse a replica that the others would look for elsewhere."""
+    """The other replicas could not reach a replica at another address."""
     peer = {**PEER, "grpc_address": "127.0.0.1:9"}
     control = {"role": "control", "name": "control-1", "data_folder": "x"}
     wrong = read(tmp_path, **control, control=[peer])
@@ -111,8 +111,8 @@
     assert isinstance(read(tmp_path, **control, control=[PEER]), Success)
 
 
-def test_doubtful_settings_warn(tmp_path: Path) -> None:
-    """Warn of what is allowed and still likely a mistake."""
+def test_likely_mistakes_are_warned_of(tmp_path: Path) -> None:
+    """Valid settings that are likely mistakes give warnings."""
     settings = read(
         tmp_path,
         control=[PEER, {**PEER, "name": "control-2"}],
@@ -125,11 +125,7 @@
 
 
 def test_reference_page_and_schema_agree() -> None:
-    """Reference page and schema agree.
-
-    Hold docs/settings.rst to the settings, in both directions, and
-    every default to the one that the code has.
-    """
+    """docs/settings.rst lists exactly the settings, with their defaults."""
     text = (DOCS / "settings.rst").read_text()
     entries = re.findall(r"^``(\w+)`` \((.+)\)$", text, re.MULTILINE)
     assert sorted(name for name, _ in entries) == sorted(SCHEMA["properties"])
@@ -142,7 +138,7 @@
 
 
 def test_names_carry_their_units() -> None:
-    """Tell seconds from milliseconds and bytes by a number's name."""
+    """The name of each numeric setting ends in its unit."""
     counts = {"http_threads", "entries_answer"}
     counts |= {"extra_ratio", "extra_fixed", "warm_up_overage"}
     for name, schema in SCHEMA["properties"].items():
@@ -154,11 +150,10 @@
 
 @pytest.mark.parametrize("place", ["http_address", "grpc_address"])
 def test_address_in_use(tmp_path: Path, place: str) -> None:
-    """Address in use.
+    """A daemon whose address is in use exits with an error.
 
-    An operator starts a second daemon on a vm. The address is taken,
-    so it ends at once with one line that names the setting, and the
-    exit status says that nothing was started.
+    This happens when an operator starts a second daemon on a vm. One line
+    names the setting, and exit status 2 says that nothing was started.
     """
     addresses = {
         "http_address": free_address(),
@@ -176,10 +171,10 @@
 
 
 def test_unwritable_data_folder(tmp_path: Path) -> None:
-    """Unwritable data folder.
+    """A replica whose data folder cannot be written does not start.
 
-    The data folder's place is taken by a file (or may not be written).
-    A replica that cannot keep its vote must not start.
+    A replica that cannot store its vote could vote twice in a term. Here the
+    path of the data folder is a file.
     """
     (tmp_path / "data").write_text("not a folder")
     own = {
@@ -201,8 +196,8 @@
     assert "Traceback" not in err
 
 
-def test_processor_that_is_not_there(tmp_path: Path) -> None:
-    """End with one line that names the vm's processors."""
+def test_cpu_that_does_not_exist(tmp_path: Path) -> None:
+    """The daemon exits with a line that lists the vm's CPUs."""
     addresses = {
         "http_address": free_address(),
         "grpc_address": free_address(),
@@ -215,8 +210,8 @@
     assert line.startswith(f"{path}: cpus: [99999] not among [")
 
 
-def test_daemon_stays_on_its_processors(tmp_path: Path) -> None:
-    """Hold every thread to the processors that the settings name."""
+def test_daemon_stays_on_its_cpus(tmp_path: Path) -> None:
+    """Every thread is restricted to the CPUs in the settings."""
     cpu = min(os.sched_getaffinity(0))
     addresses = {
         "http_address": free_address(),
@@ -236,8 +231,8 @@
         process.communicate()
 
 
-def test_wrong_command_line_of_the_daemon() -> None:
-    """End with the usage and status 2."""
+def test_invalid_command_line() -> None:
+    """The daemon prints its usage and exits with status 2."""
     command = [sys.executable, "-m", "nutmegchute_daemon"]
     done = subprocess.run(command, capture_output=True, text=True)
     assert done.returncode == 2
@@ -247,11 +242,11 @@
 def test_operator_drains_an_entry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Operator drains an entry.
+    """An operator without a login on the vm drains an entry.
 
-    An operator without a login on the vm drains an entry. A key for
-    one branch is refused, since an entry carries every team's calls; the
-    operators' key ends the daemon with status 0, as SIGTERM does.
+    A key for one branch is refused, since an entry serves the calls of every
+    team. A key for all branches stops the daemon with status 0, as SIGTERM
+    does.
     """
     address = free_address()
     operators = [
@@ -279,7 +274,7 @@
             os.kill(process.pid, signal.SIGKILL)
         out, _ = process.communicate()
     events = [msgspec.json.decode(line) for line in out.splitlines()]
-    told = {one["number"]: one for one in events}
-    assert told["NC2012"]["remote"] == "127.0.0.1"
-    assert told["NC1006"]["operator"] == "ana"
-    assert told["NC1006"]["daemon"] == "entry-1"
+    logged = {one["number"]: one for one in events}
+    assert logged["NC2012"]["remote"] == "127.0.0.1"
+    assert logged["NC1006"]["operator"] == "ana"
+    assert logged["NC1006"]["daemon"] == "entry-1"
