--- a/packages/daemon/nutmegchute_daemon/consensus.py
+++ b/packages/daemon/nutmegchute_daemon/consensus.py
@@ -160,7 +160,7 @@
         return self._node.replica.in_contact(self._loop.time())
 
     def reload(self, settings: Settings) -> None:
-        """Use the replicas listed in changed settings."""
+        """Use the replicas operator_managed in changed settings."""
         self._settings = settings
         self._group.reload(settings)
 
@@ -403,9 +403,9 @@
             return Delivery(group, [])
         if delivery.messages[0].target != self._group.identity:
             # The message is for the identity of a lost disk. The empty group
-            # makes the sender introduce itself: the replicas that the
-            # settings list here may all have been replaced, so that this
-            # one could not find the leader.
+            # makes the sender introduce itself. Otherwise it would not learn
+            # of the loss, and this replica might not find the leader: the
+            # replicas that its settings list may all have been replaced.
             return Delivery("", [])
         self._receive(delivery.messages)
         source = delivery.messages[0].source
@@ -468,9 +468,11 @@
             return
 
     async def _change_membership(self, node: Node) -> None:
-        listed = not self._settings.seeds
+        operator_managed = not self._settings.seeds
         now = self._loop.time()
-        requested = due_change(node.replica, self.pending_joins(), now, listed)
+        requested = due_change(
+            node.replica, self.pending_joins(), now, operator_managed
+        )
         if requested is not None:
             await self.reconfigure(requested, "control")
 
--- a/packages/daemon/nutmegchute_daemon/deliveries.py
+++ b/packages/daemon/nutmegchute_daemon/deliveries.py
@@ -24,8 +24,8 @@
 class Deliveries:
     """Send batches, pass the replies on and log unreachable replicas.
 
-    ``introduce_to`` is called with an address at which a replica of another
-    identity runs than the one addressed; its reply names no group.
+    ``introduce_to`` is called with the address of a member whose reply names
+    no group: a replica with another identity runs there.
     """
 
     __slots__ = (
--- a/packages/daemon/nutmegchute_daemon/groups.py
+++ b/packages/daemon/nutmegchute_daemon/groups.py
@@ -20,13 +20,13 @@
 INTRODUCE = Method("Replication", "Introduce", Introduction, Introduction)
 
 FORM_PERIOD_S = 0.1
-# A replica without power never answers. The others' answers are used this
-# soon, without waiting for that request's own timeout.
+# A replica without power never answers. The others' answers must not wait
+# for the timeout of the request to it.
 ANSWER_TIMEOUT_S = 0.2
 
 
 class Group:
-    """Hold this replica's identity and the introductions it received."""
+    """Introduce this replica to others and form or join their group."""
 
     __slots__ = (
         "_formation",
--- a/tests/test_controls.py
+++ b/tests/test_controls.py
@@ -386,7 +386,7 @@
 
     If the stopped replica kept its vote, the group would have four voters.
     Without it and the one that lost its disk, the remaining two would be no
-    majority, and no change would be accepted any more.
+    majority, and the operator's next change would never be accepted.
     """
     cluster = Cluster(tmp_path, ["a", "b", "c"])
     try:
