--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -19,7 +19,7 @@
 from nutmegchute_daemon.events import configure_logs
 from nutmegchute_daemon.events import Event
 from nutmegchute_daemon.events import log
-from nutmegchute_daemon.sinks import LINES_PER_S
+from nutmegchute_daemon.sinks import MAX_LINES_PER_S
 
 RUNS = 5
 MICRO = 1e6
@@ -71,10 +71,10 @@
     on_us = min(line_us("info", count) for _ in range(RUNS))
     off_us = min(line_us("error", count) for _ in range(RUNS))
     os.dup2(shown, sys.stdout.fileno())
-    share = 100 * on_us * LINES_PER_S / MICRO
+    share = 100 * on_us * MAX_LINES_PER_S / MICRO
     print(
         f"a call's line {on_us:.1f} us, off {off_us:.1f} us; at the bound of "
-        f"{LINES_PER_S} lines a second {share:.1f} % of a core"
+        f"{MAX_LINES_PER_S} lines a second {share:.1f} % of a core"
     )
     return 0
 
--- a/packages/daemon/nutmegchute_daemon/exposures.py
+++ b/packages/daemon/nutmegchute_daemon/exporters.py
@@ -1,4 +1,4 @@
-"""Keep metrics as text that a monitoring system fetches."""
+"""Export metrics as text that a monitoring system fetches."""
 
 import threading
 from collections import Counter
@@ -9,10 +9,10 @@
 TIMER = "timer"
 
 PREFIX = "nutmegchute"
-# A word in capitals in a catalogue name becomes this label.
+# The label for the part in capitals of a catalogue name.
 LABEL = "outcome"
-# Upper bounds in seconds: from a connection within a vm to the longest
-# deadline that deployments declare.
+# Upper bounds, from a connection within a vm to the longest deadline that
+# deployments declare.
 BUCKETS_S = (
     0.005,
     0.01,
@@ -30,17 +30,16 @@
     5.0,
     10.0,
 )
-# Durations that are kept until they are sorted into buckets; a busy entry has
-# so many in some seconds.
-MOST_KEPT = 2000
+# Durations buffered before they are sorted into buckets; a busy entry records
+# this many in some seconds.
+MAX_BUFFERED_TIMINGS = 2000
 
 
-class Exposure:
-    """Count, set and time by the names of a catalogue.
+class Exporter:
+    """Buffer the metrics of a catalogue and render them as text.
 
-    The library is loaded when somebody asks for the text, or when much has
-    been kept: it takes 1.8 MB and 27 ms of processor, a tenth of what a
-    router needs to start.
+    The library is imported when the text is first requested or the buffer is
+    full: it takes 1.8 MB and 27 ms of CPU time, a tenth of a router's start.
     """
 
     __slots__ = (
@@ -76,21 +75,21 @@
         """Record a duration, in milliseconds."""
         with self._lock:
             self._timings.append((name, value_ms))
-            if len(self._timings) >= MOST_KEPT:
-                self._hand_over()
+            if len(self._timings) >= MAX_BUFFERED_TIMINGS:
+                self._flush()
 
     def text(self) -> bytes:
-        """Give all of it as text."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import generate_latest
 
         with self._lock:
-            self._hand_over()
+            self._flush()
             return bytes(generate_latest(self._registry))
 
-    def _hand_over(self) -> None:
-        """Give the library what was kept."""
+    def _flush(self) -> None:
+        """Pass the buffered values to the library."""
         if self._registry is None:
-            self._load()
+            self._create_registry()
         for name, by in self._counts.items():
             base, _, label = name.partition(".")
             family = self._families[base]
@@ -103,16 +102,16 @@
         self._gauges.clear()
         self._timings.clear()
 
-    def _load(self) -> None:
+    def _create_registry(self) -> None:
         from prometheus_client import CollectorRegistry
 
         self._registry = CollectorRegistry()
         for name, (kind, _) in self._catalogue.items():
             base = name.partition(".")[0]
             labels = [LABEL] if "." in name else []
-            self._families[base] = self._build(kind, base, labels)
+            self._families[base] = self._create_family(kind, base, labels)
 
-    def _build(self, kind: str, base: str, labels: list[str]) -> Any:
+    def _create_family(self, kind: str, base: str, labels: list[str]) -> Any:
         from prometheus_client import Counter as CounterFamily
         from prometheus_client import Gauge
         from prometheus_client import Histogram
--- a/packages/daemon/nutmegchute_daemon/metrics.py
+++ b/packages/daemon/nutmegchute_daemon/metrics.py
@@ -1,21 +1,21 @@
-"""Count and time what the daemon does, by statsd over UDP."""
+"""Collect metrics, for statsd over UDP and as text over HTTP."""
 
 import threading
 from collections import Counter
 
 import statsd
 
-from .exposures import COUNTER
-from .exposures import Exposure
-from .exposures import GAUGE
-from .exposures import TIMER
+from .exporters import COUNTER
+from .exporters import Exporter
+from .exporters import GAUGE
+from .exporters import TIMER
 from .settings import split_address
 
 PREFIX = "nutmegchute"
-TIMINGS = 200
+MAX_TIMINGS = 200
 
-# Name, kind and unit of everything sent; docs/metrics.rst gives meaning
-# and alert. A part in capitals stands for one of several words.
+# Type and unit of each metric by name; docs/metrics.rst has meanings and
+# alerts. A part in capitals stands for one of several values.
 CATALOGUE: dict[str, tuple[str, str]] = {
     "alive": (GAUGE, "1"),
     "cpu_percent": (GAUGE, "percent of a core"),
@@ -44,17 +44,17 @@
 
 
 class Metrics:
-    """Gather counters and timings; a dead listener harms nothing.
+    """Collect counters, gauges and timings; needs no running listener.
 
-    One datagram per count cost three system calls per request on the loop,
-    and each of them handed the interpreter lock to another thread. What is
-    gathered leaves in one datagram each time it is flushed.
+    One datagram per count would cost three system calls per request on the
+    event loop, each of which hands the interpreter lock to another thread.
+    Each flush sends all that was collected together.
     """
 
     __slots__ = (
         "_client",
         "_counts",
-        "_exposure",
+        "_exporter",
         "_gauges",
         "_lock",
         "_timings",
@@ -66,7 +66,7 @@
             host, port = split_address(address)
             prefix = f"{PREFIX}.{name}"
             self._client = statsd.StatsClient(host, port, prefix=prefix)
-        self._exposure = Exposure(CATALOGUE)
+        self._exporter = Exporter(CATALOGUE)
         self._lock = threading.Lock()
         self._counts: Counter[str] = Counter()
         self._gauges: dict[str, float] = {}
@@ -74,33 +74,33 @@
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
-        self._exposure.count(name, by)
+        self._exporter.count(name, by)
         with self._lock:
             self._counts[name] += by
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
-        self._exposure.gauge(name, value)
+        self._exporter.gauge(name, value)
         with self._lock:
             self._gauges[name] = value
 
     def time_ms(self, name: str, value_ms: float) -> None:
         """Record a duration, in milliseconds.
 
-        Only TIMINGS of them are kept between two flushes: the listener's
-        percentiles need a sample, and memory must have a bound.
+        At most MAX_TIMINGS are kept between two flushes, to bound memory. A
+        sample suffices for the listener's percentiles.
         """
-        self._exposure.time_ms(name, value_ms)
+        self._exporter.time_ms(name, value_ms)
         with self._lock:
-            if len(self._timings) < TIMINGS:
+            if len(self._timings) < MAX_TIMINGS:
                 self._timings.append((name, value_ms))
 
     def text(self) -> bytes:
-        """Give all metrics as text, for those that ask."""
-        return self._exposure.text()
+        """Return all metrics in the Prometheus text format."""
+        return self._exporter.text()
 
     def flush(self) -> None:
-        """Send what was gathered since the last flush."""
+        """Send what was collected since the last flush."""
         with self._lock:
             counts, self._counts = self._counts, Counter()
             gauges, self._gauges = self._gauges, {}
--- a/packages/daemon/nutmegchute_daemon/sinks.py
+++ b/packages/daemon/nutmegchute_daemon/sinks.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever making the writer of a line wait."""
+"""Write log lines on a separate thread, so that logging never blocks."""
 
 import os
 import threading
@@ -8,42 +8,43 @@
 from typing import Generic
 from typing import TypeVar
 
-# What is kept while the reader of the log does not read: some seconds of a
-# busy process, under a megabyte.
-KEPT_LINES = 2000
-# Lines a second, whatever the load; a second's line about a call costs some
-# 50 us to render. Beyond, lines are dropped and counted.
-LINES_PER_S = 400
-# Lines that come while one write is under way leave together with the next.
-GATHER_S = 0.05
-CLOSE_S = 0.5
-# A collector that reads a pipe gets a few lines at a time, some kilobytes.
-WRITE_LINES = 8
-# The first lines wait so long: rendering them loads a library, and a daemon
-# that starts should serve first.
-FIRST_S = 1.0
+# Lines queued while the log's reader does not read: some seconds of a busy
+# process, under a megabyte.
+MAX_QUEUED_LINES = 2000
+# Further lines in a second are dropped and counted. The line of a call costs
+# some 50 us to render.
+MAX_LINES_PER_S = 400
+# Collects lines for this long, so that one write takes several.
+BATCH_DELAY_S = 0.05
+CLOSE_TIMEOUT_S = 0.5
+# Keeps a write to some kilobytes, which a collector reads from a pipe.
+LINES_PER_WRITE = 8
+# Delays the first lines: rendering them imports a library, and a starting
+# daemon should serve first.
+INITIAL_DELAY_S = 1.0
 
 T = TypeVar("T")
 
 
 class LineSink(Generic[T]):
-    """Hand records to a thread that writes them to a file descriptor.
+    """Write records to a file descriptor on a thread.
 
-    ``build`` gives what renders a record's line; the thread calls both.
+    The thread calls ``build_renderer`` once, and what it returns for each
+    record, to render the record as a line.
 
-    A full disk, a closed pipe or a reader that stopped would otherwise
-    hold or end the loop in the middle of a decision. Lines that cannot be
-    kept or written are counted.
+    On the event loop, a full disk, a closed pipe or a reader that stopped
+    would block the loop or raise in the middle of a decision. Lines that
+    cannot be queued or written are counted.
     """
 
     def __init__(
         self,
         descriptor: int,
-        build: Callable[[], Callable[[T], str]],
+        build_renderer: Callable[[], Callable[[T], str]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._descriptor = descriptor
-        self._build = build
+        self._build_renderer = build_renderer
         self._clock = clock
         self._records: deque[T] = deque()
         self._closing = threading.Event()
@@ -52,23 +53,23 @@
         self._idle.set()
         self._lock = threading.Lock()
         self._lost = 0
-        self._second = 0
-        self._in_second = 0
+        self._current_second = 0
+        self._lines_in_second = 0
         self._thread = threading.Thread(
-            target=self._run, name="log", daemon=True
+            target=self._write_records, name="log", daemon=True
         )
         self._thread.start()
 
     def put(self, record: T) -> None:
-        """Take a record."""
+        """Queue a record, or count it as lost if a limit is reached."""
         second = int(self._clock())
         with self._lock:
-            if second != self._second:
-                self._second = second
-                self._in_second = 0
-            self._in_second += 1
-            over = self._in_second > LINES_PER_S
-            if over or len(self._records) >= KEPT_LINES:
+            if second != self._current_second:
+                self._current_second = second
+                self._lines_in_second = 0
+            self._lines_in_second += 1
+            over_limit = self._lines_in_second > MAX_LINES_PER_S
+            if over_limit or len(self._records) >= MAX_QUEUED_LINES:
                 self._lost += 1
                 return
             self._records.append(record)
@@ -76,23 +77,23 @@
         self._ready.set()
 
     def take_lost(self) -> int:
-        """Return how many lines were lost since the last question."""
+        """Return how many lines were lost since the last call."""
         with self._lock:
             lost, self._lost = self._lost, 0
         return lost
 
     def close(self) -> None:
-        """Wait a moment for what is still to be written."""
+        """Wait for queued lines to be written, at most CLOSE_TIMEOUT_S."""
         self._closing.set()
-        self._idle.wait(CLOSE_S)
+        self._idle.wait(CLOSE_TIMEOUT_S)
 
-    def _run(self) -> None:
+    def _write_records(self) -> None:
         self._ready.wait()
-        self._closing.wait(FIRST_S)
-        render = self._build()
+        self._closing.wait(INITIAL_DELAY_S)
+        render = self._build_renderer()
         while True:
             self._ready.wait()
-            self._closing.wait(GATHER_S)
+            self._closing.wait(BATCH_DELAY_S)
             self._ready.clear()
             with self._lock:
                 records = list(self._records)
@@ -111,14 +112,14 @@
             try:
                 lines.append(render(record))
             except (TypeError, ValueError, RuntimeError):
-                # A field that cannot be rendered, or that changed meanwhile,
-                # must not end the thread: every later line would be lost.
+                # A field that cannot be rendered, or that changes meanwhile,
+                # must not end the thread: all later lines would be lost.
                 lost += 1
-        for start in range(0, len(lines), WRITE_LINES):
-            piece = lines[start : start + WRITE_LINES]
-            data = "".join(f"{line}\n" for line in piece).encode()
+        for start in range(0, len(lines), LINES_PER_WRITE):
+            batch = lines[start : start + LINES_PER_WRITE]
+            data = "".join(f"{line}\n" for line in batch).encode()
             if not self._write(data):
-                lost += len(piece)
+                lost += len(batch)
         with self._lock:
             self._lost += lost
 
@@ -127,7 +128,7 @@
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # Nowhere is left to say so; the count is logged once the
-            # descriptor takes lines again.
+            # The error cannot be logged now. The number of lost lines is
+            # logged once the descriptor can be written again.
             return False
         return True
--- a/tests/test_sinks.py
+++ b/tests/test_sinks.py
@@ -1,15 +1,15 @@
-"""Write log lines without making anybody wait."""
+"""Test that log lines are written without blocking the caller."""
 
 import itertools
 import os
 
-from nutmegchute_daemon.sinks import KEPT_LINES
-from nutmegchute_daemon.sinks import LINES_PER_S
 from nutmegchute_daemon.sinks import LineSink
+from nutmegchute_daemon.sinks import MAX_LINES_PER_S
+from nutmegchute_daemon.sinks import MAX_QUEUED_LINES
 
 
-def test_lines_come_out_whole_and_in_order() -> None:
-    """Write what was given."""
+def test_lines_are_written_in_order() -> None:
+    """All lines are written, in order."""
     reading, writing = os.pipe()
     sink = LineSink(writing, lambda: str)
     for number in range(5):
@@ -20,39 +20,38 @@
     ]
 
 
-def test_reader_that_stops_reading_holds_nobody() -> None:
-    """Drop and count lines while nobody reads.
+def test_stopped_reader_does_not_block() -> None:
+    """Lines are dropped and counted while the pipe is full.
 
-    The collector of the logs hangs and the pipe is full. A daemon that
-    wrote in its loop would stop with it; here the lines beyond the bound
-    are lost and their number is told.
+    The log collector hangs. A daemon that wrote to the pipe on its event
+    loop would hang with it.
     """
     reading, writing = os.pipe()
     seconds = itertools.count()
     sink = LineSink(writing, lambda: str, lambda: next(seconds))
     line = "x" * 1000
-    for _ in range(3 * KEPT_LINES):
+    for _ in range(3 * MAX_QUEUED_LINES):
         sink.put(line)
-    assert sink.take_lost() >= KEPT_LINES
+    assert sink.take_lost() >= MAX_QUEUED_LINES
     os.close(reading)
 
 
-def test_lines_of_a_second_are_bounded() -> None:
-    """Drop and count what comes beyond the bound of a second."""
+def test_lines_per_second_are_limited() -> None:
+    """Lines above the limit of a second are dropped and counted."""
     reading, writing = os.pipe()
     sink = LineSink(writing, lambda: str, lambda: 5.0)
-    for _ in range(LINES_PER_S + 7):
+    for _ in range(MAX_LINES_PER_S + 7):
         sink.put("x")
     assert sink.take_lost() == 7
     sink.close()
-    assert os.read(reading, 65536).count(b"x") == LINES_PER_S
+    assert os.read(reading, 65536).count(b"x") == MAX_LINES_PER_S
 
 
-def test_sink_outlives_a_closed_reader() -> None:
-    """Count what could not be written and write what comes later.
+def test_sink_survives_a_closed_reader() -> None:
+    """Lines that cannot be written are counted; later ones are written.
 
-    The file of the log has reached its limit, or the pipe has no reader.
-    Raised in the loop, the error would end the daemon.
+    The log file has reached its size limit, or the pipe has no reader. On
+    the event loop, the error would end the daemon.
     """
     reading, writing = os.pipe()
     os.close(reading)
@@ -68,11 +67,10 @@
 
 
 def test_record_that_cannot_be_rendered_is_counted() -> None:
-    """Go on with the next line after one that cannot be written.
+    """The next record is written after one that cannot be rendered.
 
-    A field changes while its line is rendered, or is of a type that JSON
-    does not know. An error would end the thread that writes, and with it
-    the log.
+    A field changes while its line is rendered, or has a type that JSON lacks.
+    An error that ended the writing thread would end all logging.
     """
     reading, writing = os.pipe()
     sink = LineSink(writing, lambda: _render_even)
