--- a/packages/daemon/nutmegchute_daemon/answers.py
+++ b/packages/daemon/nutmegchute_daemon/answers.py
@@ -40,7 +40,7 @@
 
     __slots__ = ()
 
-    def not_run(self, response: HTTPResponse) -> bool:
+    def is_not_run(self, response: HTTPResponse) -> bool:
         """Return whether the answer reports that the call did not run."""
         return (
             NOT_RUN_HEADER in response.headers
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -142,7 +142,7 @@
         self._first_bytes = b""
         self._finished = False
 
-    def take(
+    def set_answer(
         self,
         response: HTTPResponse,
         connection: Connection,
@@ -370,7 +370,7 @@
         try:
             response = self._exchange(request, connection, exchange, deadline)
             self._format.check(request.headers, response)
-            reply = self._take(
+            reply = self._read_reply(
                 response, connection, endpoint, exchange, started, deadline
             )
         except (
@@ -453,7 +453,7 @@
                 raise BrokenAnswerError("malformed header")
         return response
 
-    def _take(
+    def _read_reply(
         self,
         response: HTTPResponse,
         connection: Connection,
@@ -462,10 +462,10 @@
         started: float,
         deadline: float,
     ) -> Reply:
-        shed = self._format.not_run(response)
+        shed = self._format.is_not_run(response)
         reply = Reply(NOT_RUN if shed else ANSWERED, 0.0)
         wait_s = deadline - time.monotonic()
-        reply.take(
+        reply.set_answer(
             response,
             connection,
             self._connections,
