--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's endpoints, operator and clients."""
+"""Simulate the platform's endpoints, operators and clients."""
 
 import contextlib
 import json
@@ -22,24 +22,26 @@
 
 WAIT_S = 30.0
 HOST = "a.example"
-BEAT_S = 0.4
+HEARTBEAT_S = 0.4
 
 POOL = urllib3.PoolManager(retries=False, timeout=5.0)
 
 
-def wait_for(what: Callable[[], Any], text: str) -> Any:
-    """Wait until something holds, and return it."""
+def wait_for(condition: Callable[[], Any], text: str) -> Any:
+    """Wait until a condition holds, and return its value."""
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end:
-        found = what()
+        found = condition()
         if found:
             return found
         time.sleep(0.05)
     raise AssertionError(f"not within {WAIT_S} s: {text}")
 
 
-def ask(method: str, url: str, body: Any = None, **headers: str) -> Any:
-    """Send one request, following twice; None: there was no answer."""
+def send_request(
+    method: str, url: str, body: Any = None, **headers: str
+) -> Any:
+    """Send a request, following two redirects; None if unanswered."""
     fields = {key.replace("_", "-"): one for key, one in headers.items()}
     data = None if body is None else msgspec.json.encode(body)
     answer = None
@@ -57,7 +59,7 @@
 class Endpoint:
     """Answer requests as an endpoint of the platform does.
 
-    ``address`` may be given to start where another one ended.
+    ``address`` may be that of an endpoint that has ended.
     """
 
     def __init__(self, instance: str, service: str, address: str = "") -> None:
@@ -67,11 +69,11 @@
         self.mode = "well"
         self.state = "ready"
         self.zone = "surco"
-        # What its health page tells of its warm-up, in milliseconds.
+        # The remaining warm-up on its health page, in milliseconds.
         self.warm_up_ms = 0
         self.sequence = 0
         self.connections: list[socket.socket] = []
-        # Tells by path and body whether a request ends this process.
+        # Returns, for path and body, whether a request ends this process.
         self.crashes: Callable[[str, bytes], bool] = lambda path, body: False
         self.crashed = threading.Event()
         host, _, port = (address or "127.0.0.1:0").rpartition(":")
@@ -85,15 +87,15 @@
         ).start()
 
     def stop(self) -> None:
-        """End as a process does: connections close, the address is free."""
+        """End like a process: close the connections and free the address."""
         self._server.shutdown()
         self._server.server_close()
         for connection in self.connections:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
-    def beat(self, control: str, **values: Any) -> Any:
-        """Announce this endpoint at a control address."""
+    def send_heartbeat(self, control: str, **values: Any) -> Any:
+        """Send a heartbeat of this endpoint to a control address."""
         self.sequence += 1
         body = {
             "service": self.service,
@@ -107,12 +109,12 @@
             **values,
         }
         url = f"http://{control}/Instances.Heartbeat/{self.instance}"
-        return ask("POST", url, body)
+        return send_request("POST", url, body)
 
-    def leave(self, control: str) -> Any:
-        """Say farewell at a control address."""
+    def deregister(self, control: str) -> Any:
+        """Deregister this endpoint at a control address."""
         url = f"http://{control}/Instances.Deregister/{self.instance}"
-        return ask("POST", url)
+        return send_request("POST", url)
 
 
 def _handler_of(endpoint: Endpoint) -> type[BaseHTTPRequestHandler]:
@@ -127,15 +129,15 @@
             length = int(self.headers.get("Content-Length", 0))
             content = self.rfile.read(length)
             if self.path == "/healthz":
-                self._say(200, b"", Warmup_Ms=str(endpoint.warm_up_ms))
+                self._respond(200, b"", Warmup_Ms=str(endpoint.warm_up_ms))
                 return
-            wanted = self.headers.get("Target-Instance")
-            if wanted != endpoint.instance:
-                self._say(421, b"")
+            target_instance = self.headers.get("Target-Instance")
+            if target_instance != endpoint.instance:
+                self._respond(421, b"")
                 return
             name = self.headers.get("Request-Id", "")
             if endpoint.mode == "full":
-                self._say(503, b"", Not_Executed="1")
+                self._respond(503, b"", Not_Executed="1")
                 return
             endpoint.ran[name] += 1
             if endpoint.crashes(self.path, content):
@@ -150,13 +152,13 @@
             if endpoint.mode == "cross":
                 name = "somebody-else"
             body = f"{endpoint.instance} {self.path}".encode()
-            self._say(
+            self._respond(
                 200, body, Request_Id=name, Server_Signature=endpoint.instance
             )
 
         do_POST = do_DELETE = do_GET  # noqa: N815
 
-        def _say(self, status: int, body: bytes, **headers: str) -> None:
+        def _respond(self, status: int, body: bytes, **headers: str) -> None:
             self.send_response(status)
             self.send_header("Content-Length", str(len(body)))
             self.send_header("Instance-Id", endpoint.instance)
@@ -173,11 +175,11 @@
 
 
 class Site:
-    """Run control replicas and routers on loopback addresses of their own."""
+    """Run control replicas and routers, each on its own loopback address."""
 
     def __init__(self, folder: Path, controls: int, routers: int) -> None:
         self._folder = folder
-        # Loopback addresses that other runs hardly use.
+        # A random network, so that parallel runs rarely collide.
         net = f"127.{random.randint(1, 250)}.{random.randint(0, 250)}"
         self.controls = [f"{net}.{n}" for n in range(1, controls + 1)]
         self.routers = [f"{net}.{n}" for n in range(101, 101 + routers)]
@@ -186,15 +188,15 @@
         self.starts: Counter[str] = Counter()
 
     def control(self, number: int = 0) -> str:
-        """Give the address for operators and endpoints."""
+        """Return the address for operators and endpoints."""
         return f"{self.controls[number]}:7001"
 
     def router(self, number: int = 0) -> str:
-        """Give the address for clients."""
+        """Return the address for clients."""
         return f"{self.routers[number]}:7002"
 
     def start(self, ip: str, founding: bool) -> None:
-        """Start the daemon of an address."""
+        """Start the daemon at an address."""
         self.starts[ip] += 1
         role = "control" if ip in self.controls else "router"
         name = f"{role}-{ip.rpartition('.')[2]}"
@@ -229,16 +231,16 @@
             )
 
     def data(self, ip: str) -> Path:
-        """Give the data folder of a control replica."""
+        """Return the data folder of a control replica."""
         return self._folder / f"data-{ip}"
 
     def start_all(self) -> None:
-        """Start everything for the first time."""
+        """Start all daemons for the first time."""
         for ip in [*self.controls, *self.routers]:
             self.start(ip, True)
 
     def kill(self, ip: str) -> None:
-        """Kill a daemon and wait for its end."""
+        """Kill a daemon and wait until it has ended."""
         process = self.processes.pop(ip)
         process.kill()
         process.wait()
@@ -248,24 +250,28 @@
         self.processes[ip].send_signal(number)
 
     def stop(self) -> None:
-        """Kill what is left."""
+        """Kill the daemons that still run."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
             process.wait()
 
     def resolve(self, number: int = 0) -> list[str]:
-        """Ask a control replica which entries to use."""
+        """Return the entries that a control replica gives to clients."""
         url = f"http://{self.controls[number]}:7003/resolve"
-        answer = ask("GET", f"{url}?name={HOST}&region=lima&zone=surco")
+        answer = send_request(
+            "GET", f"{url}?name={HOST}&region=lima&zone=surco"
+        )
         if answer is None or answer.status != 200:
             return []
         found: list[str] = answer.json()["addresses"]
         return found
 
     def order(self, path: str, body: Any, number: int = 0) -> Any:
-        """Send an operator's order, following the way to the leader."""
-        return ask("POST", f"http://{self.control(number)}{path}", body)
+        """Send an operator's request, following redirects to the leader."""
+        return send_request(
+            "POST", f"http://{self.control(number)}{path}", body
+        )
 
     def request(
         self,
@@ -276,7 +282,7 @@
         host: str = HOST,
     ) -> Any:
         """Send a client's request to a router."""
-        return ask(
+        return send_request(
             method,
             f"http://{self.router(number)}{path}",
             Host=host,
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,9 +15,9 @@
 from nutmegchute_fakes.demo import declaration
 from nutmegchute_fakes.demo import declare
 from nutmegchute_fakes.upstreams import CRASH_PATH
-from platform_standins import ask
 from platform_standins import Endpoint
 from platform_standins import HOST
+from platform_standins import send_request
 from platform_standins import Site
 from platform_standins import wait_for
 
@@ -84,7 +84,7 @@
 
     def _announce(self, endpoint: Endpoint) -> None:
         for number in range(len(self._site.controls)):
-            answer = endpoint.beat(self._site.control(number))
+            answer = endpoint.send_heartbeat(self._site.control(number))
             if answer is not None and answer.status == 200:
                 return
 
@@ -218,7 +218,7 @@
             entry = entries[number % ROUTERS].address
             name = f"{CRASHING}-{number}"
             url = f"http://{entry}/call/prestamos{CRASH_PATH}"
-            ask("GET", url, X_Request_Id=name)
+            send_request("GET", url, X_Request_Id=name)
             seen = crashing.crashes()
             if until == float("inf") and len(seen) >= 3:
                 until = time.time() + PROPAGATION_S + EXTRA_S
@@ -228,7 +228,7 @@
         assert len(late_crashes) <= MAX_RETRIES
         for one in entries:
             url = f"http://{one.address}/call/prestamos/shelf"
-            answer = wait_for(partial(ask, "GET", url), "a lookup")
+            answer = wait_for(partial(send_request, "GET", url), "a lookup")
             assert answer.status == 200
     finally:
         crashing.stop()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,8 +1,8 @@
-"""Translate the platform's documents and words, and keep them in place."""
+"""Test that the platform's formats are converted, and only in its folder."""
 
 import ast
 import contextlib
-from functools import partial as partial_of
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -18,17 +18,17 @@
 from nutmegchute_core.trees import CONFLICT
 from nutmegchute_core.trees import INVALID
 from nutmegchute_core.trees import Tree
-from nutmegchute_platform.configurations import read_partial
+from nutmegchute_platform.configurations import read_configuration
+from nutmegchute_platform.configurations import read_update
 from nutmegchute_platform.configurations import read_version
-from nutmegchute_platform.configurations import read_whole
 from nutmegchute_platform.configurations import TEAM
-from nutmegchute_platform.configurations import write_whole
-from nutmegchute_platform.endpoints import read_farewell
+from nutmegchute_platform.configurations import write_configuration
+from nutmegchute_platform.endpoints import read_deregistration
 from nutmegchute_platform.endpoints import read_heartbeat
 
 ROOT = Path(__file__).parent.parent
-# Words of the platform that only its folder may know.
-WORDS = (
+# Names of the platform that may occur only in its folder.
+PLATFORM_NAMES = (
     "Not-Executed",
     "Server-Signature",
     "Target-Instance",
@@ -64,7 +64,7 @@
     ],
     "maxAttempts": 2,
 }
-WHOLE: dict[str, Any] = {
+CONFIGURATION: dict[str, Any] = {
     "version": "r7",
     "services": [
         {
@@ -88,7 +88,7 @@
 
 
 def json_values() -> st.SearchStrategy[Any]:
-    """Give documents that use the platform's names with any content."""
+    """Return a strategy for JSON documents with the platform's keys."""
     names = st.sampled_from(
         [
             "born",
@@ -114,43 +114,46 @@
     )
 
 
-def whole(**values: Any) -> bytes:
+def encode_configuration(**values: Any) -> bytes:
     """Encode a complete configuration."""
-    return msgspec.json.encode({**WHOLE, **values})
+    return msgspec.json.encode({**CONFIGURATION, **values})
 
 
-def partial(**values: Any) -> bytes:
-    """Encode a change of named items that builds on r7."""
+def encode_update(**values: Any) -> bytes:
+    """Encode an update of named items with base version r7."""
     return msgspec.json.encode(
         {"version": "r9", "baseVersion": "r7", **values}
     )
 
 
-def shown(tree: Tree) -> dict[str, Any]:
-    """Read a tree back in the platform's form."""
+def read_back(tree: Tree) -> dict[str, Any]:
+    """Return the configuration of a tree in the platform's format."""
     document = tree.documents.get(TEAM)
-    data = write_whole(tree.revisions.get(TEAM, 0), document)
+    data = write_configuration(tree.revisions.get(TEAM, 0), document)
     found: dict[str, Any] = msgspec.json.decode(data)
     return found
 
 
-def accepted() -> Tree:
-    """Return a tree that holds the configuration above."""
+def tree_with_configuration() -> Tree:
+    """Return a tree that holds CONFIGURATION."""
     tree = Tree()
-    assert tree.apply(1, read_whole(whole(), 0.0)).outcome == ACCEPTED
+    assert (
+        tree.apply(1, read_configuration(encode_configuration(), 0.0)).outcome
+        == ACCEPTED
+    )
     return tree
 
 
 def test_routes_of_large_bodies_are_read_back() -> None:
-    """Keep apart what may run once only from what is large besides."""
+    """Keep unsafe routes and unsafe routes with large bodies apart."""
     photos = {**ROUTE, "name": "r-photo", "pathPrefix": "/p/"}
     photos["kind"] = "upload"
-    body = whole(
+    body = encode_configuration(
         virtualHosts=[{"hostname": "a.example", "paths": [ROUTE, photos]}]
     )
     tree = Tree()
-    assert tree.apply(1, read_whole(body, 0.0)).outcome == ACCEPTED
-    paths = shown(tree)["virtualHosts"][0]["paths"]
+    assert tree.apply(1, read_configuration(body, 0.0)).outcome == ACCEPTED
+    paths = read_back(tree)["virtualHosts"][0]["paths"]
     assert paths == [ROUTE, photos]
     loans, bundles = read_routes(tree.documents, 0.0)
     assert not bundles.rule.idempotent
@@ -158,121 +161,134 @@
 
 
 def test_unknown_kind_of_request_is_refused() -> None:
-    """Put nothing in force whose meaning is not known."""
+    """Refuse a route of an unknown kind."""
     odd = {**ROUTE, "kind": "maybe"}
-    body = whole(virtualHosts=[{"hostname": "a.example", "paths": [odd]}])
+    body = encode_configuration(
+        virtualHosts=[{"hostname": "a.example", "paths": [odd]}]
+    )
     with pytest.raises(DeclarationError):
-        read_whole(body, 0.0)
+        read_configuration(body, 0.0)
 
 
-def test_configuration_is_read_back_as_it_was_sent() -> None:
-    """Give every field back, also those that nothing here reads."""
-    expected = dict(WHOLE)
+def test_configuration_is_read_back_unchanged() -> None:
+    """Return every field, also those that nutmegchute does not read."""
+    expected = dict(CONFIGURATION)
     del expected["baseVersion"]
-    assert shown(accepted()) == expected
+    assert read_back(tree_with_configuration()) == expected
 
 
 def test_items_are_changed_and_removed_by_name() -> None:
-    """Replace one route, remove another, keep the rest."""
-    tree = accepted()
+    """Replace one route, remove another and keep the rest."""
+    tree = tree_with_configuration()
     moved = {**ROUTE, "service": "shelf"}
-    order = partial(
+    order = encode_update(
         upsert={"virtualHosts": [{"hostname": "a.example", "paths": [moved]}]},
         remove={"routes": ["r-look"]},
     )
-    assert tree.apply(2, read_partial(order, 0.0)).outcome == ACCEPTED
-    found = shown(tree)
+    assert tree.apply(2, read_update(order, 0.0)).outcome == ACCEPTED
+    found = read_back(tree)
     assert found["version"] == "r9"
     assert found["virtualHosts"] == [
         {"hostname": "a.example", "paths": [moved]}
     ]
-    assert found["services"] == WHOLE["services"]
+    assert found["services"] == CONFIGURATION["services"]
 
 
-def test_resent_order_gets_its_first_answer() -> None:
-    """Acknowledge an accepted order again, whatever came after it.
+def test_resent_update_gets_its_first_answer() -> None:
+    """Acknowledge an accepted update again after later changes.
 
-    The answer to an operator is lost; the order is sent again to another
-    replica while a later change is in force already.
+    The answer to an operator is lost, and the update is sent again to another
+    replica when a later change is in force already.
     """
-    tree = accepted()
-    order = partial(remove={"routes": ["r-look"]})
-    first = tree.apply(2, read_partial(order, 1.0))
-    later = whole(version="r20", baseVersion="r9")
-    assert tree.apply(3, read_whole(later, 2.0)).outcome == ACCEPTED
-    assert tree.apply(4, read_partial(order, 3.0)) == first
-    assert tree.apply(5, read_whole(whole(), 4.0)).outcome == ACCEPTED
-    assert shown(tree)["version"] == "r20"
-
-
-def test_one_of_two_orders_on_one_version_wins() -> None:
-    """Let the first of two operators win and tell the other so."""
-    tree = accepted()
-    one = partial(remove={"routes": ["r-look"]})
-    two = partial(remove={"routes": ["r-loan"]})
-    assert tree.apply(2, read_partial(one, 1.0)).outcome == ACCEPTED
-    assert tree.apply(3, read_partial(two, 1.0)).outcome == CONFLICT
-    names = [one["name"] for one in shown(tree)["virtualHosts"][0]["paths"]]
+    tree = tree_with_configuration()
+    order = encode_update(remove={"routes": ["r-look"]})
+    first = tree.apply(2, read_update(order, 1.0))
+    later = encode_configuration(version="r20", baseVersion="r9")
+    assert tree.apply(3, read_configuration(later, 2.0)).outcome == ACCEPTED
+    assert tree.apply(4, read_update(order, 3.0)) == first
+    assert (
+        tree.apply(5, read_configuration(encode_configuration(), 4.0)).outcome
+        == ACCEPTED
+    )
+    assert read_back(tree)["version"] == "r20"
+
+
+def test_one_of_two_updates_of_a_version_wins() -> None:
+    """Accept the first of two updates and refuse the other as a conflict."""
+    tree = tree_with_configuration()
+    one = encode_update(remove={"routes": ["r-look"]})
+    two = encode_update(remove={"routes": ["r-loan"]})
+    assert tree.apply(2, read_update(one, 1.0)).outcome == ACCEPTED
+    assert tree.apply(3, read_update(two, 1.0)).outcome == CONFLICT
+    names = [
+        one["name"] for one in read_back(tree)["virtualHosts"][0]["paths"]
+    ]
     assert names == ["r-loan"]
 
 
 @pytest.mark.parametrize(
     "body",
     [
-        whole()[:-40],
-        whole(virtualHosts=[{"hostname": "a", "paths": [{"name": "r"}]}]),
-        whole(version="seven"),
-        whole(
+        encode_configuration()[:-40],
+        encode_configuration(
+            virtualHosts=[{"hostname": "a", "paths": [{"name": "r"}]}]
+        ),
+        encode_configuration(version="seven"),
+        encode_configuration(
             virtualHosts=[
                 {"hostname": "a", "paths": [{**ROUTE, "kind": "odd"}]}
             ]
         ),
-        whole(
+        encode_configuration(
             virtualHosts=[
                 {"hostname": "a", "paths": [{**ROUTE, "timeoutMs": 0}]}
             ]
         ),
-        whole(
+        encode_configuration(
             virtualHosts=[
                 {"hostname": "a", "paths": [{**ROUTE, "pathPrefix": "x/"}]}
             ]
         ),
-        whole(virtualHosts=[{"hostname": "a", "paths": [ROUTE, ROUTE]}]),
+        encode_configuration(
+            virtualHosts=[{"hostname": "a", "paths": [ROUTE, ROUTE]}]
+        ),
     ],
     ids=["cut", "fields", "version", "kind", "timeout", "prefix", "twice"],
 )
-def test_wrong_configuration_is_refused_when_read(body: bytes) -> None:
-    """Refuse what is wrong in itself before it reaches the log."""
+def test_invalid_configuration_is_refused_when_read(body: bytes) -> None:
+    """Refuse an invalid configuration before it is proposed to the log."""
     with pytest.raises(DeclarationError):
-        read_whole(body, 0.0)
+        read_configuration(body, 0.0)
 
 
-def test_wrong_configuration_is_refused_by_the_tree() -> None:
-    """Refuse an unknown service and a version that goes back."""
+def test_invalid_configuration_is_refused_by_the_tree() -> None:
+    """Refuse an unknown service and a version lower than the current."""
     lost = {**ROUTE, "service": "nowhere"}
     hosts = [{"hostname": "a", "paths": [lost]}]
     tree = Tree()
-    answer = tree.apply(1, read_whole(whole(virtualHosts=hosts), 0.0))
+    answer = tree.apply(
+        1, read_configuration(encode_configuration(virtualHosts=hosts), 0.0)
+    )
     assert answer.outcome == INVALID
-    assert shown(tree)["version"] == "r0"
-    tree = accepted()
-    back = whole(version="r6", baseVersion="r7")
-    assert tree.apply(2, read_whole(back, 0.0)).outcome == INVALID
-    order = partial(remove={"services": ["desk"]})
-    assert tree.apply(3, read_partial(order, 0.0)).outcome == INVALID
-    assert shown(tree)["version"] == "r7"
+    assert read_back(tree)["version"] == "r0"
+    tree = tree_with_configuration()
+    back = encode_configuration(version="r6", baseVersion="r7")
+    assert tree.apply(2, read_configuration(back, 0.0)).outcome == INVALID
+    order = encode_update(remove={"services": ["desk"]})
+    assert tree.apply(3, read_update(order, 0.0)).outcome == INVALID
+    assert read_back(tree)["version"] == "r7"
 
 
-def test_versions() -> None:
-    """Read versions as numbers."""
+def test_versions_are_read_as_numbers() -> None:
+    """Read versions with and without the prefix, refuse all others."""
     assert [read_version(one) for one in ("r12", "0", 0, 5)] == [12, 0, 0, 5]
     for wrong in ("", "r", "v3", "r-1"):
         with pytest.raises(DeclarationError):
             read_version(wrong)
 
 
-def test_word_of_an_endpoint() -> None:
-    """Read a heartbeat into an announcement."""
+def test_heartbeat_becomes_an_announcement() -> None:
+    """Map the fields of a heartbeat and ignore an unknown one."""
     body = {
         "service": "desk",
         "address": "10.0.0.1:80",
@@ -292,8 +308,8 @@
     assert announcement.cold_s == 1.5
 
 
-def test_start_of_an_endpoint() -> None:
-    """Read when the process started, in heartbeats and farewells."""
+def test_start_time_of_an_endpoint() -> None:
+    """Read the start time in heartbeats and deregistrations."""
     body = {
         "service": "desk",
         "address": "10.0.0.1:80",
@@ -305,11 +321,11 @@
     }
     announcement, _ = read_heartbeat("i-1", msgspec.json.encode(body))
     assert announcement.process == ("i-1", 1764720000000)
-    assert read_farewell(b'{"born": 1764720000000}') == 1764720000000
-    assert read_farewell(b"{}") is None
-    assert read_farewell(b"") is None
+    assert read_deregistration(b'{"born": 1764720000000}') == 1764720000000
+    assert read_deregistration(b"{}") is None
+    assert read_deregistration(b"") is None
     with pytest.raises(msgspec.DecodeError):
-        read_farewell(b'{"born": "today"}')
+        read_deregistration(b'{"born": "today"}')
 
 
 @settings(max_examples=300)
@@ -319,11 +335,11 @@
     | st.just(b"[" * 100000)
 )
 def test_any_bytes_are_read_or_refused(body: bytes) -> None:
-    """Meet whatever another writer sends with one kind of error."""
-    for read in (partial_of(read_heartbeat, "i-1"), read_farewell):
+    """Raise only the declared kind of error for arbitrary input."""
+    for read in (partial(read_heartbeat, "i-1"), read_deregistration):
         with contextlib.suppress(msgspec.DecodeError):
             read(body)
-    for order in (read_whole, read_partial):
+    for order in (read_configuration, read_update):
         with contextlib.suppress(DeclarationError):
             order(body, 0.0)
 
@@ -344,8 +360,8 @@
         {"warmupLeftMs": 1e300},
     ],
 )
-def test_wrong_word_of_an_endpoint(values: dict[str, Any]) -> None:
-    """Refuse a heartbeat that entries could not use."""
+def test_invalid_heartbeat_is_refused(values: dict[str, Any]) -> None:
+    """Refuse a heartbeat whose fields entries would not accept."""
     body = {
         "service": "desk",
         "address": "10.0.0.1:80",
@@ -359,8 +375,8 @@
         read_heartbeat("i-1", msgspec.json.encode(body))
 
 
-def test_nothing_else_knows_the_platform() -> None:
-    """Find neither an import of the folder nor its words outside it."""
+def test_other_packages_are_independent_of_the_platform() -> None:
+    """Find neither an import of the folder nor its names outside it."""
     paths = sorted((ROOT / "packages").rglob("*.py"))
     assert len(paths) > 50
     for path in paths:
@@ -373,22 +389,22 @@
             if isinstance(node, ast.Import):
                 for alias in node.names:
                     assert "nutmegchute_platform" not in alias.name, path.name
-        for word in WORDS:
-            assert word not in text, f"{path.name}: {word}"
+        for platform_name in PLATFORM_NAMES:
+            assert platform_name not in text, f"{path.name}: {platform_name}"
 
 
-def test_the_folder_hides_no_module() -> None:
-    """Keep Python's own module of the folder's name in reach."""
+def test_folder_does_not_shadow_the_standard_module() -> None:
+    """Keep the standard library's platform module importable."""
     assert not (ROOT / "platform" / "__init__.py").exists()
 
 
 def test_change_that_names_no_base_cannot_be_read() -> None:
-    """Refuse a change of named items that builds on nothing.
+    """Refuse an update of named items without a base version.
 
-    A writer leaves out the version that its change builds on. At a replica
-    that does not lead it was sent on, and at the leader it lost against a
-    version that nobody else had named, as if an operator had been quicker.
+    Guards against a fault: replicas other than the leader redirected such an
+    update, and the leader refused it as a conflict, as if another operator
+    had changed the configuration first.
     """
     for body in (b'{"version":"r5","services":7}', b'{"version":"r5"}'):
         with pytest.raises(DeclarationError):
-            read_partial(body, 0.0)
+            read_update(body, 0.0)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Drive the daemons by the platform's protocol over loopback."""
+"""Test the daemons over loopback with the platform's protocol."""
 
 import itertools
 import random
@@ -20,17 +20,17 @@
 from nutmegchute_daemon.methods import PEER
 from nutmegchute_daemon.methods import SEEN
 from nutmegchute_daemon.methods import WATCH
-from platform_standins import ask
 from platform_standins import Endpoint
 from platform_standins import HOST
 from platform_standins import POOL
+from platform_standins import send_request
 from platform_standins import Site
 from platform_standins import wait_for
 
 NAMES = itertools.count()
 
 
-def route(name: str, kind: str, **values: Any) -> dict[str, Any]:
+def build_route(name: str, kind: str, **values: Any) -> dict[str, Any]:
     """Build a route."""
     return {
         "name": name,
@@ -45,7 +45,9 @@
     }
 
 
-def whole(version: int, base: int, *routes: dict[str, Any]) -> dict[str, Any]:
+def build_configuration(
+    version: int, base: int, *routes: dict[str, Any]
+) -> dict[str, Any]:
     """Build a complete configuration."""
     return {
         "version": f"r{version}",
@@ -59,12 +61,12 @@
     }
 
 
-LOAN = route("loan", "unsafe")
-LOOK = route("look", "safe")
+LOAN = build_route("loan", "unsafe")
+LOOK = build_route("look", "safe")
 
 
-class Beats:
-    """Announce endpoints again and again until told to stop."""
+class HeartbeatSender:
+    """Send heartbeats of endpoints until stopped."""
 
     def __init__(self, site: Site, *endpoints: Endpoint) -> None:
         self.site = site
@@ -74,7 +76,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Announce no more."""
+        """Stop sending heartbeats."""
         self._stop.set()
         self._thread.join()
 
@@ -82,64 +84,67 @@
         while not self._stop.wait(0.4):
             for endpoint in self.endpoints:
                 for number in range(len(self.site.controls)):
-                    answer = endpoint.beat(self.site.control(number))
+                    answer = endpoint.send_heartbeat(self.site.control(number))
                     if answer is not None and answer.status == 200:
                         break
 
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[Site]:
-    """Run three control replicas and two routers, configured."""
+    """Run three control replicas and two routers with a configuration."""
     found = Site(tmp_path, 3, 2)
     found.start_all()
     try:
-        order = whole(1, 0, LOAN, LOOK)
-        wait_for(lambda: _status(found.order("/Config.Replace", order)), "r1")
+        order = build_configuration(1, 0, LOAN, LOOK)
+        wait_for(
+            lambda: _has_status(found.order("/Config.Replace", order)), "r1"
+        )
         yield found
     finally:
         found.stop()
 
 
-def _status(answer: Any, wanted: int = 200) -> bool:
-    return answer is not None and answer.status == wanted
+def _has_status(answer: Any, expected: int = 200) -> bool:
+    return answer is not None and answer.status == expected
 
 
-def _name() -> str:
+def _next_name() -> str:
     return f"q{next(NAMES)}"
 
 
-def _served(site: Site, number: int, path: str = "/look/1") -> Any:
-    answer = site.request(path, _name(), number)
-    return answer if _status(answer) else None
+def _try_request(site: Site, number: int, path: str = "/look/1") -> Any:
+    answer = site.request(path, _next_name(), number)
+    return answer if _has_status(answer) else None
 
 
-def _moved(site: Site, number: int) -> bool:
-    answer = _served(site, number)
+def _is_served_by_second(site: Site, number: int) -> bool:
+    answer = _try_request(site, number)
     return answer is not None and answer.data == b"i-2 /look/1"
 
 
-def _all_served(site: Site) -> None:
+def _wait_until_served(site: Site) -> None:
     for number in range(2):
-        wait_for(partial(_served, site, number), f"router {number}")
+        wait_for(partial(_try_request, site, number), f"router {number}")
 
 
-def test_calm_minute(site: Site) -> None:
-    """Serve clients, operators and endpoints as the platform speaks.
+def test_normal_operation(site: Site) -> None:
+    """Serve clients, operators and endpoints by the platform's protocol.
 
-    Requests reach an endpoint of their route's service once, with a name
-    and a signature; unknown places are 404; a change is in force at every
-    router and is read back at every replica.
+    Each request reaches one endpoint of its route's service once, and its
+    answer carries request id and signature. An unknown host or path gets a
+    404. A change takes effect at every router and is returned by every
+    replica.
     """
     desk = Endpoint("i-1", "desk")
     shelf = Endpoint("i-2", "shelf")
-    beats = Beats(site, desk, shelf)
+    heartbeats = HeartbeatSender(site, desk, shelf)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         assert set(wait_for(site.resolve, "entries")) <= {
             site.router(0),
             site.router(1),
         }
-        names = [_name() for _ in range(40)]
+        names = [_next_name() for _ in range(40)]
         for turn, name in enumerate(names):
             answer = site.request("/loan/a?x=1", name, turn % 2, "POST")
             assert answer.status == 200
@@ -147,8 +152,11 @@
             assert answer.headers["Server-Signature"] == "i-1"
             assert answer.headers["Request-Id"] == name
         assert [desk.ran[name] for name in names] == [1] * 40
-        assert site.request("/nowhere/", _name()).status == 404
-        assert site.request("/look/", _name(), host="b.example").status == 404
+        assert site.request("/nowhere/", _next_name()).status == 404
+        assert (
+            site.request("/look/", _next_name(), host="b.example").status
+            == 404
+        )
         moved = {**LOOK, "service": "shelf"}
         order = {
             "version": "r5",
@@ -156,157 +164,170 @@
             "upsert": {"virtualHosts": [{"hostname": HOST, "paths": [moved]}]},
         }
         for number in range(3):
-            # The same order, to each replica: accepted once, then again.
+            # Each replica acknowledges the same request, applied once.
             assert site.order("/Config.Update", order, number).status == 200
         for number in range(2):
-            wait_for(partial(_moved, site, number), "the change in force")
+            wait_for(
+                partial(_is_served_by_second, site, number),
+                "the change in force",
+            )
         for number in range(3):
             url = f"http://{site.control(number)}/Config.Read"
-            read = wait_for(partial(ask, "GET", url), "read").json()
+            read = wait_for(partial(send_request, "GET", url), "read").json()
             assert read["version"] == "r5"
         health = f"http://{site.routers[0]}:7004/readyz"
-        assert ask("GET", health).status == 200
-        text = ask("GET", f"http://{site.routers[0]}:7005/metrics").data
+        assert send_request("GET", health).status == 200
+        text = send_request(
+            "GET", f"http://{site.routers[0]}:7005/metrics"
+        ).data
         assert b"nutmegchute_calls_total" in text
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def test_endpoint_that_fails(site: Site) -> None:
-    """Tell clients the truth about what an endpoint did.
+def test_status_after_endpoint_failure(site: Site) -> None:
+    """Answer with a status that matches what the endpoint did.
 
-    Full, it did not run the request: 503. A lost answer may have run, so a
-    loan is neither repeated nor called not run. The answer to another's
-    request is nobody's.
+    A full endpoint did not run the request: 503. When the answer is lost, the
+    request may have run: an unsafe one gets a 502 and is not retried. An
+    answer to another request is never forwarded.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         for mode, status, ran in (("full", 503, 0), ("lose", 502, 1)):
             desk.mode = mode
-            name = _name()
+            name = _next_name()
             answer = site.request("/loan/1", name, 0, "POST")
             assert answer.status == status, mode
             assert answer.headers["Request-Id"] == name
             assert desk.ran[name] == ran, mode
         desk.mode = "cross"
-        name = _name()
+        name = _next_name()
         assert site.request("/loan/1", name, 1, "POST").status == 502
         assert desk.ran[name] == 1
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def test_bad_input_is_told_in_one_line(site: Site) -> None:
-    """Refuse what cannot be read with its status and one reason.
+def test_invalid_request_gets_one_line_reason(site: Site) -> None:
+    """Refuse an invalid request with its status and one line of reason.
 
-    Nothing of it is taken, and the daemon goes on serving.
+    The configuration stays the same, and the daemon continues to serve.
     """
     control = site.control()
-    beat = f"http://{control}/Instances.Heartbeat/i-1"
+    heartbeat_url = f"http://{control}/Instances.Heartbeat/i-1"
     wrong = [
-        ("POST", beat, "x" * 100000, 413),
-        ("POST", beat, {"service": "desk"}, 400),
+        ("POST", heartbeat_url, "x" * 100000, 413),
+        ("POST", heartbeat_url, {"service": "desk"}, 400),
         ("POST", f"http://{control}/Config.Replace", {"version": 1}, 400),
         ("POST", f"http://{control}/Config.Update", "none", 400),
     ]
     for method, url, body, status in wrong:
-        answer = ask(method, url, body)
+        answer = send_request(method, url, body)
         assert answer.status == status, url
         assert len(answer.json()["reason"].splitlines()) == 1
-    back = whole(1, 1, LOAN)
+    back = build_configuration(1, 1, LOAN)
     assert site.order("/Config.Replace", back).status == 400
-    old = whole(9, 0, LOAN)
+    old = build_configuration(9, 0, LOAN)
     assert site.order("/Config.Replace", old).status == 412
     url = f"http://{control}/Config.Read"
-    assert ask("GET", url).json()["version"] == "r1"
+    assert send_request("GET", url).json()["version"] == "r1"
 
 
-def test_address_taken_over_by_another_process(site: Site) -> None:
-    """Send nothing to a process that is not the one announced.
+def test_address_reused_by_another_process(site: Site) -> None:
+    """Run no request at a process that was not announced.
 
-    An endpoint ends without a word and another service starts at its
-    address. It refuses what is not for it, and the client's request did
-    not run.
+    An endpoint ends without deregistering and another service starts at its
+    address. It refuses requests for the old process, and the client gets a
+    503: its request did not run.
     """
     old = Endpoint("i-1", "desk")
-    beats = Beats(site, old)
+    heartbeats = HeartbeatSender(site, old)
     try:
-        _all_served(site)
-        beats.stop()
+        _wait_until_served(site)
+        heartbeats.stop()
         old.stop()
         new = Endpoint("i-9", "shelf", old.address)
-        name = _name()
+        name = _next_name()
         answer = site.request("/loan/1", name, 0, "POST")
         assert answer.status == 503
         assert not new.ran
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def test_router_that_starts_holds_calls_for_a_moment(site: Site) -> None:
-    """Serve a call that comes before the configuration does.
+def test_starting_router_queues_calls(site: Site) -> None:
+    """Serve a call that arrives before the configuration.
 
-    A router is killed and starts again. It listens before it has asked
-    control for routes and endpoints; callers that were sent away then would
-    come back later than the answer takes.
+    A router is killed and starts again. It listens before it has received
+    routes and endpoints from control. Calls refused in that time would be
+    retried later than they could have been answered.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         site.kill(site.routers[0])
         site.start(site.routers[0], False)
         answer = wait_for(
-            lambda: site.request("/look/1", _name(), 0), "listening"
+            lambda: site.request("/look/1", _next_name(), 0), "listening"
         )
         assert answer.status == 200
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def test_endpoint_starts_again_under_its_name(site: Site) -> None:
-    """Serve by the later process at once, whatever was heard before.
+def test_endpoint_restarts_under_its_id(site: Site) -> None:
+    """Serve by the later process at once, whatever the earlier one sends.
 
     An endpoint drains and ends, and starts again under its id and address
-    with its numbers anew. What the earlier process sent comes after: it is
-    not acknowledged, and the later one goes on serving.
+    with new sequence numbers. Messages of the earlier process that arrive
+    afterwards are not acknowledged, and the later one continues to serve.
     """
     earlier = Endpoint("i-1", "desk")
-    assert _status(earlier.beat(site.control(0), born=1000, sequence=70))
+    assert _has_status(
+        earlier.send_heartbeat(site.control(0), born=1000, sequence=70)
+    )
     earlier.state = "draining"
-    drain = partial(earlier.beat, site.control(0), born=1000, sequence=71)
-    wait_for(lambda: _status(drain()), "acknowledged")
+    drain = partial(
+        earlier.send_heartbeat, site.control(0), born=1000, sequence=71
+    )
+    wait_for(lambda: _has_status(drain()), "acknowledged")
     earlier.stop()
     later = Endpoint("i-1", "desk", earlier.address)
     try:
         for control in range(3):
-            answer = later.beat(site.control(control), born=2000)
-            assert _status(answer)
-        _all_served(site)
+            answer = later.send_heartbeat(site.control(control), born=2000)
+            assert _has_status(answer)
+        _wait_until_served(site)
         for control in range(3):
-            late = earlier.beat(site.control(control), born=1000, sequence=99)
-            assert _status(late, 503)
-        assert _status(_farewell(site, "i-1", {"born": 1000}), 503)
-        _all_served(site)
-        assert _status(_farewell(site, "i-1", {"born": 2000}))
-        assert _status(site.request("/loan/1", _name(), 0, "POST"), 503)
+            late = earlier.send_heartbeat(
+                site.control(control), born=1000, sequence=99
+            )
+            assert _has_status(late, 503)
+        assert _has_status(_deregister(site, "i-1", {"born": 1000}), 503)
+        _wait_until_served(site)
+        assert _has_status(_deregister(site, "i-1", {"born": 2000}))
+        assert _has_status(
+            site.request("/loan/1", _next_name(), 0, "POST"), 503
+        )
     finally:
         later.stop()
 
 
-def test_other_writers_name_no_endpoint(site: Site) -> None:
-    """Refuse what another writer sends; the endpoints known hold.
+def test_invalid_heartbeats_change_no_endpoint(site: Site) -> None:
+    """Refuse invalid heartbeats and keep the known endpoints.
 
-    Heartbeats come with fields missing or of another type, with a state or
-    service that nobody declared, or as bytes that cannot be read, some
-    under the id of an endpoint that serves.
+    The heartbeats lack fields, have fields of a wrong type or an undeclared
+    state or service, or cannot be decoded; some carry the id of an endpoint
+    that serves.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         wrong: list[dict[str, Any]] = [
             {"state": "resting"},
             {"service": "nobody"},
@@ -316,31 +337,33 @@
             {"capacity": "many"},
             {"address": "127.0.0.1:9"},
         ]
-        beats.stop()
+        heartbeats.stop()
         for control in range(3):
-            assert _status(desk.beat(site.control(control)))
+            assert _has_status(desk.send_heartbeat(site.control(control)))
         for values in wrong:
-            answer = desk.beat(site.control(0), **{"sequence": 99, **values})
+            answer = desk.send_heartbeat(
+                site.control(0), **{"sequence": 99, **values}
+            )
             assert answer.status in (400, 503), values
         desk.instance = "i-77"
         for values in (wrong[0], wrong[1], wrong[3], wrong[4]):
-            answer = desk.beat(site.control(0), **values)
+            answer = desk.send_heartbeat(site.control(0), **values)
             assert answer.status in (400, 503), values
         desk.instance = "i-1"
         for name in ("%ff%fe", "x" * 200, ""):
             url = f"http://{site.control(0)}/Instances.Heartbeat/{name}"
-            assert _status(ask("POST", url, {}), 400)
-        assert _status(_farewell(site, "i-1", [1, 2]), 400)
+            assert _has_status(send_request("POST", url, {}), 400)
+        assert _has_status(_deregister(site, "i-1", [1, 2]), 400)
         for control in range(3):
-            assert _status(desk.beat(site.control(control)))
-        _all_served(site)
+            assert _has_status(desk.send_heartbeat(site.control(control)))
+        _wait_until_served(site)
     finally:
-        beats.stop()
+        heartbeats.stop()
         desk.stop()
 
 
-def _noise(seed: int) -> list[bytes]:
-    """Give bodies that no reader expects, the same ones for a seed."""
+def _malformed_bodies(seed: int) -> list[bytes]:
+    """Return malformed request bodies, the same ones for a seed."""
     draw = random.Random(seed)
     pieces = [
         b"{}",
@@ -360,17 +383,19 @@
     return pieces
 
 
-def test_zone_is_evacuated_and_taken_back(site: Site) -> None:
-    """Guard against calls in an evacuated zone, also after all restart."""
+def test_zone_evacuation_survives_restarts(site: Site) -> None:
+    """Send no calls to an evacuated zone, also after all daemons restart."""
     here = Endpoint("i-1", "desk")
     there = Endpoint("i-2", "desk")
     there.zone = "miraflores"
-    beats = Beats(site, here, there)
+    heartbeats = HeartbeatSender(site, here, there)
     try:
-        _all_served(site)
-        # The answer may be lost: the same order comes at another replica.
+        _wait_until_served(site)
+        # After a lost answer the same order is sent to another replica.
         for number in range(3):
-            wait_for(partial(_ordered, site, number, "Begin"), "the order")
+            wait_for(
+                partial(_order_evacuation, site, number, "Begin"), "the order"
+            )
         time.sleep(1.0)
         before = here.ran.total()
         everything = [*site.controls, *site.routers]
@@ -378,46 +403,51 @@
             site.kill(ip)
         for ip in everything:
             site.start(ip, False)
-        _all_served(site)
+        _wait_until_served(site)
         for turn in range(20):
-            wait_for(partial(_moved, site, turn % 2), "the other zone")
+            wait_for(
+                partial(_is_served_by_second, site, turn % 2), "the other zone"
+            )
         assert here.ran.total() == before
-        wait_for(partial(_ordered, site, 1, "Finish"), "the zone back")
-        wait_for(lambda: _served(site, 0) and here.ran.total() > before, "it")
+        wait_for(
+            partial(_order_evacuation, site, 1, "Finish"), "the zone back"
+        )
+        wait_for(
+            lambda: _try_request(site, 0) and here.ran.total() > before, "it"
+        )
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
 def _evacuate(site: Site, number: int, verb: str, zone: str = "surco") -> Any:
     url = f"http://{site.control(number)}/Evacuations.{verb}/{zone}"
-    return ask("POST", url)
+    return send_request("POST", url)
 
 
-def _ordered(site: Site, number: int, verb: str) -> bool:
-    return _status(_evacuate(site, number, verb))
+def _order_evacuation(site: Site, number: int, verb: str) -> bool:
+    return _has_status(_evacuate(site, number, verb))
 
 
-def test_order_about_no_zone_is_refused_clearly(site: Site) -> None:
-    """Guard against an order that is taken for a name no zone can have."""
+def test_order_with_invalid_zone_is_refused(site: Site) -> None:
+    """Refuse an order for a name that no availability zone can have."""
     for name in ("Surco", "%FF", "a%20b", "x" * 80, ""):
         answer = _evacuate(site, 0, "Begin", name)
         assert answer.status == 400, name
         assert b"zone" in answer.data
     url = f"http://{site.control(0)}/Evacuations.Begin/surco"
-    assert ask("GET", url).status == 405
+    assert send_request("GET", url).status == 405
 
 
 def test_any_bytes_at_any_call_change_nothing(site: Site) -> None:
-    """Answer each call of the platform whatever its body is.
+    """Refuse malformed bodies on every path of the platform's API.
 
-    Another writer, or a broken one, sends bytes to every path. Each gets a
-    refusal with a reason; none is acknowledged, the daemon goes on and so
-    do the endpoint and the configuration that it knows.
+    A faulty client sends arbitrary bytes. None is acknowledged, the daemon
+    continues to serve, and endpoints and configuration stay the same.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         control = site.control(0)
         paths = [
             f"http://{control}/Instances.Heartbeat/i-1",
@@ -426,91 +456,93 @@
             f"http://{control}/Config.Update",
         ]
         for path in paths:
-            for body in _noise(7):
+            for body in _malformed_bodies(7):
                 object_only = body.startswith(b"{") and b"born" not in body
                 if object_only and "Deregister" in path:
-                    # A farewell that does not tell its start is one.
+                    # A deregistration without a start time is valid.
                     continue
                 answer = POOL.request("POST", path, body=body, redirect=False)
                 assert answer.status in (307, 400, 413), (path, body[:40])
         for query in ("?zone=%ff", "?zone=%00&zone", "?%"):
             url = f"http://{site.controls[0]}:7003/resolve{query}"
-            assert ask("GET", url).status == 200
-        _all_served(site)
+            assert send_request("GET", url).status == 200
+        _wait_until_served(site)
         read = f"http://{site.control(0)}/Config.Read"
-        assert ask("GET", read).json()["version"] == "r1"
+        assert send_request("GET", read).json()["version"] == "r1"
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
 def test_any_bytes_between_daemons_change_nothing(site: Site) -> None:
-    """Refuse what another daemon's exchanges cannot be.
+    """Refuse malformed messages on every gRPC method.
 
-    A process of another version, or something else at that port, sends
-    bytes to every method. Control and routers go on serving.
+    A daemon of another version, or another program, sends arbitrary bytes.
+    Control and routers continue to serve.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     methods = (DELIVER, FOLLOW, WATCH, CLAIM, INTRODUCE, PEER, SEEN)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         for ip in site.controls:
             with grpc.insecure_channel(f"{ip}:7000") as channel:
                 for method in methods:
                     call = channel.unary_unary(method.path)
-                    for body in _noise(9):
+                    for body in _malformed_bodies(9):
                         with pytest.raises(grpc.RpcError) as raised:
                             call(body, timeout=5.0)
                         code = raised.value.code()
                         assert code == grpc.StatusCode.INVALID_ARGUMENT
-        _all_served(site)
+        _wait_until_served(site)
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def _farewell(site: Site, name: str, body: Any) -> Any:
+def _deregister(site: Site, name: str, body: Any) -> Any:
     url = f"http://{site.control(0)}/Instances.Deregister/{name}"
-    return ask("POST", url, body)
+    return send_request("POST", url, body)
 
 
 def test_drain_binds_while_an_entry_does_not_answer(site: Site) -> None:
-    """Acknowledge a leaving although one entry is frozen; it heeds it.
+    """Acknowledge a drain while one entry is paused, and have it obey later.
 
-    A router stands still with a question open. The endpoint that leaves
-    gets its answer once the router is out of touch. The router wakes and
-    hears of the leaving before it sends anything.
+    A router is paused while its request to control is open. The heartbeat of
+    the draining endpoint is acknowledged once the router's contact has timed
+    out. When it resumes, the router learns of the drain before it sends any
+    call.
     """
     leaving = Endpoint("i-1", "desk")
     staying = Endpoint("i-2", "desk")
-    beats = Beats(site, leaving, staying)
+    heartbeats = HeartbeatSender(site, leaving, staying)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         site.signal(site.routers[1], signal.SIGSTOP)
         leaving.state = "draining"
         wait_for(
-            lambda: _status(leaving.beat(site.control(1))), "acknowledged"
+            lambda: _has_status(leaving.send_heartbeat(site.control(1))),
+            "acknowledged",
         )
         before = sum(leaving.ran.values())
         for _ in range(20):
-            assert _status(site.request("/look/1", _name(), 0))
+            assert _has_status(site.request("/look/1", _next_name(), 0))
         assert sum(leaving.ran.values()) == before
         site.signal(site.routers[1], signal.SIGCONT)
-        wait_for(lambda: _served(site, 1), "awake")
+        wait_for(lambda: _try_request(site, 1), "awake")
         before = sum(leaving.ran.values())
         for _ in range(20):
-            assert _status(site.request("/look/1", _name(), 1))
+            assert _has_status(site.request("/look/1", _next_name(), 1))
         assert sum(leaving.ran.values()) == before
-        assert _status(leaving.leave(site.control(0)))
+        assert _has_status(leaving.deregister(site.control(0)))
     finally:
-        beats.stop()
+        heartbeats.stop()
 
 
-def test_control_machine_without_its_disk(site: Site) -> None:
-    """Take a replica with an empty folder in under a new identity.
+def test_control_replica_loses_its_disk(site: Site) -> None:
+    """Admit a replica with an empty data folder under a new identity.
 
-    Its vote of before is forgotten with its disk. It comes back beside the
-    others, is taken in and shows what was acknowledged; then another one
-    is lost and the two of them still decide.
+    Its earlier votes were lost with its disk. It becomes a voter again
+    without any command; then another replica is killed, and the remaining
+    two still accept a change.
     """
     lost = site.controls[2]
     site.kill(lost)
@@ -518,72 +550,72 @@
     site.start(lost, False)
     url = f"http://{site.control(2)}/replicas"
 
-    def back() -> bool:
-        answer = ask("GET", url)
-        rows = answer.json()["replicas"] if _status(answer) else []
+    def has_three_voters() -> bool:
+        answer = send_request("GET", url)
+        rows = answer.json()["replicas"] if _has_status(answer) else []
         return len([one for one in rows if one["voter"]]) == 3
 
-    wait_for(back, "three voters")
+    wait_for(has_three_voters, "three voters")
     site.kill(site.controls[1])
-    order = whole(4, 1, LOOK)
+    order = build_configuration(4, 1, LOOK)
     wait_for(
-        lambda: _status(site.order("/Config.Replace", order, 2)), "decided"
+        lambda: _has_status(site.order("/Config.Replace", order, 2)), "decided"
     )
 
 
 def test_five_replicas_of_which_three_are_seeds(tmp_path: Path) -> None:
-    """Form a group of the seeds and let the others join it."""
+    """Form a group of the three seeds, which the other two join."""
     site = Site(tmp_path, 5, 1)
     site.start_all()
     url = f"http://{site.control(4)}/replicas"
     try:
 
-        def whole_group() -> bool:
-            answer = ask("GET", url)
-            rows = answer.json()["replicas"] if _status(answer) else []
+        def are_all_voters() -> bool:
+            answer = send_request("GET", url)
+            rows = answer.json()["replicas"] if _has_status(answer) else []
             return len([one for one in rows if one["voter"]]) == 5
 
-        wait_for(whole_group, "five voters")
+        wait_for(are_all_voters, "five voters")
     finally:
         site.stop()
 
 
 def test_router_before_its_first_configuration(tmp_path: Path) -> None:
-    """Answer 503 where no configuration is known, never 404."""
+    """Answer 503, not 404, while no configuration is known."""
     site = Site(tmp_path, 3, 1)
     site.start(site.routers[0], True)
     try:
-        answer = wait_for(lambda: site.request("/look/1", _name()), "503")
+        answer = wait_for(lambda: site.request("/look/1", _next_name()), "503")
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
         health = f"http://{site.routers[0]}:7004/readyz"
-        assert ask("GET", health).status == 503
+        assert send_request("GET", health).status == 503
     finally:
         site.stop()
 
 
-def test_stopping_router_serves_who_still_comes(site: Site) -> None:
-    """Leave the directory at once and serve those who hold the address.
+def test_stopping_router_serves_late_callers(site: Site) -> None:
+    """Leave the directory at once and serve callers that cached the address.
 
-    The platform stops a router. Callers that asked the directory before
-    still come for some seconds; each is answered by an endpoint or told
-    that its request did not run, and the router ends by itself.
+    The platform stops a router. Callers with a cached address still send
+    requests for some seconds; each is answered by an endpoint or gets a 503,
+    as it did not run, and the router ends by itself.
     """
     desk = Endpoint("i-1", "desk")
-    beats = Beats(site, desk)
+    heartbeats = HeartbeatSender(site, desk)
     try:
-        _all_served(site)
+        _wait_until_served(site)
         wait_for(lambda: len(site.resolve()) == 2, "both named")
         site.signal(site.routers[1], signal.SIGTERM)
         wait_for(lambda: site.resolve() == [site.router(0)], "gone")
         statuses = []
         process = site.processes[site.routers[1]]
         while process.poll() is None:
-            answer = site.request("/look/1", _name(), 1)
+            answer = site.request("/look/1", _next_name(), 1)
             statuses.append(None if answer is None else answer.status)
             time.sleep(0.1)
         assert statuses[0] == 200
         assert set(statuses) <= {200, 503, None}
         assert process.returncode == 0
     finally:
-        beats.stop()
+        heartbeats.stop()
