--- a/packages/daemon/nutmegchute_daemon/__init__.py
+++ b/packages/daemon/nutmegchute_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run the roles of nutmegchute: the loop, its edges and the disk."""
+"""Run the roles of nutmegchute: event loop, network and disk."""
--- a/packages/daemon/nutmegchute_daemon/__main__.py
+++ b/packages/daemon/nutmegchute_daemon/__main__.py
@@ -32,7 +32,7 @@
 from .sinks import LineSink
 
 EXIT_USAGE = 2
-LOST_S = 1.0
+LOST_LINES_PERIOD_S = 1.0
 
 Roles = dict[str, Callable[[Settings], Daemon]]
 
@@ -55,13 +55,13 @@
     return RouterDaemon(settings)
 
 
-# Each loads its own modules when it is asked for: after a loss of power a
-# vm serves again that much sooner.
+# Each role imports its modules only when it is started, which shortens the
+# start after a power failure.
 ROLES: Roles = {"control": _control, "entry": _entry, "router": _router}
 
 
 def main() -> int:
-    """Read the settings and run the role they name."""
+    """Parse the command line and run the role that the settings name."""
     try:
         arguments = docopt(__doc__)
     except DocoptExit as error:
@@ -72,8 +72,8 @@
 
 def run(path: Path, roles: Roles) -> int:
     """Run the role that a settings file names; return the exit status."""
-    # A crash inside a library's machine code ends a process without a word;
-    # with this the threads' stacks reach the log.
+    # Prints the stacks of all threads when native code of a library crashes;
+    # without it, the process would end without any message.
     faulthandler.enable()
     settings = read_settings(path)
     if isinstance(settings, Failure):
@@ -87,38 +87,38 @@
     return 0
 
 
-def _stay_on(cpus: list[int]) -> None:
-    """Hold the process to some of the vm's processors.
+def _restrict_to_cpus(cpus: list[int]) -> None:
+    """Restrict the process to some of the vm's CPUs.
 
-    Threads take turns at the interpreter; where each turn is on another
-    processor, handing over costs half of a call's time.
+    Threads take turns holding the interpreter lock. If each runs on another
+    CPU, passing the lock takes half of a call's time.
 
-    :raises StartError: the vm lacks one of them
+    :raises StartError: the vm lacks one of the CPUs
     """
     if not cpus:
         return
-    there = os.sched_getaffinity(0)
-    missing = sorted(set(cpus) - there)
+    available = os.sched_getaffinity(0)
+    missing = sorted(set(cpus) - available)
     if missing:
-        raise StartError(f"cpus: {missing} not among {sorted(there)}")
+        raise StartError(f"cpus: {missing} not among {sorted(available)}")
     os.sched_setaffinity(0, cpus)
 
 
 async def _run(settings: Settings, roles: Roles) -> None:
-    # First, so that the threads that follow are held as well.
-    _stay_on(settings.cpus)
+    # Before any thread starts, since threads inherit the restriction.
+    _restrict_to_cpus(settings.cpus)
     sink = configure_logs(settings.log_level, settings.name)
     try:
         for warning in settings.warnings():
             log(Event.SETTING_DOUBTFUL, "warning", detail=warning)
         daemon = roles[settings.role](settings)
-        daemon.run_every(LOST_S, lambda: _report_lost(sink))
+        daemon.run_every(LOST_LINES_PERIOD_S, lambda: _log_lost_lines(sink))
         await daemon.run()
     finally:
         sink.close()
 
 
-def _report_lost(sink: LineSink[Record]) -> None:
+def _log_lost_lines(sink: LineSink[Record]) -> None:
     lost = sink.take_lost()
     if lost:
         log(Event.LINES_LOST, "warning", lines=lost)
--- a/packages/daemon/nutmegchute_daemon/applications.py
+++ b/packages/daemon/nutmegchute_daemon/applications.py
@@ -1,8 +1,7 @@
-"""Run the operators' pages on CherryPy.
+"""Serve the operators' pages with CherryPy.
 
-Apart from the HTTP server, so that a role without pages does not load it:
-of the time in which a daemon is back after a loss of power, loading takes
-the most.
+This is apart from the HTTP server, so that a role without pages does not
+import CherryPy: imports take most of a daemon's start after a power failure.
 """
 
 from collections.abc import Callable
@@ -16,7 +15,7 @@
 
 
 def open_pages(root: object) -> Application:
-    """Mount a CherryPy object at the root; return what serves it."""
+    """Mount a CherryPy object at the root; return the WSGI application."""
     cherrypy.config.update(
         {
             "environment": "embedded",
@@ -25,8 +24,8 @@
             "error_page.default": plain_error,
         }
     )
-    # CherryPy's own server would listen on its default port as well, and a
-    # second daemon on the vm would end without a word.
+    # CherryPy's own server would also listen on its default port, and a second
+    # daemon on the vm would exit without an error message.
     cherrypy.server.unsubscribe()
     cherrypy.tree.mount(root, "/", {"/": {"tools.gzip.on": False}})
     application: Application = cherrypy.tree
@@ -34,11 +33,11 @@
 
 
 def start_pages() -> None:
-    """Start what CherryPy runs beside the pages, once they are served."""
+    """Start the CherryPy engine, once the pages are served."""
     cherrypy.engine.start()
 
 
 def close_pages() -> None:
-    """Let CherryPy end what it runs beside the pages."""
+    """Stop the CherryPy engine and unmount the pages."""
     cherrypy.engine.exit()
     cherrypy.tree.apps.clear()
--- a/packages/daemon/nutmegchute_daemon/clocks.py
+++ b/packages/daemon/nutmegchute_daemon/clocks.py
@@ -1,12 +1,12 @@
-"""Read the clock that leases are measured by."""
+"""Read the clock that measures leases."""
 
 import time
 
 
 def boot_time() -> float:
-    """Give the seconds since the vm started, suspended ones included.
+    """Return the seconds since the vm's boot, time suspended included.
 
-    The loop's clock stands still while the vm is suspended: a lease must
-    not outlast its time because nobody counted it.
+    The event loop's clock stops while the vm is suspended. A lease measured
+    by it would last too long.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/daemon/nutmegchute_daemon/errors.py
+++ b/packages/daemon/nutmegchute_daemon/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the daemon layer."""
+"""Errors of the daemon."""
 
 
 class DaemonError(Exception):
-    """Stand at the root of every error the daemon raises."""
+    """Base class of all errors that the daemon raises."""
 
 
 class SettingsError(DaemonError):
-    """Say which file and place is wrong and what is allowed."""
+    """Report a settings file that cannot be read or is invalid."""
 
 
 class StartError(DaemonError):
-    """Say why the daemon could not start."""
+    """Report why the daemon cannot start."""
 
 
 class StorageError(DaemonError):
-    """Report data on disk that cannot be written or trusted."""
+    """Report data on disk that cannot be written or is damaged."""
--- a/packages/daemon/nutmegchute_daemon/handlers.py
+++ b/packages/daemon/nutmegchute_daemon/handlers.py
@@ -1,4 +1,4 @@
-"""Share what the pages of both roles say and ask."""
+"""Provide functions for the operators' pages of entry and control."""
 
 import html
 from collections.abc import Callable
@@ -15,41 +15,41 @@
 from .settings import Operator
 from .settings import Settings
 
-FAULT = "500"
+INTERNAL_ERROR = "500"
 
 
 class Scheduler(Protocol):
-    """Describe how a page reaches the loop."""
+    """Schedule functions of page handlers on the event loop."""
 
     def schedule(self, function: Callable[..., Any], *args: Any) -> None:
-        """Run a function on the loop without waiting for it."""
+        """Run a function on the event loop without waiting for it."""
 
 
 def plain_error(
     status: str, message: str, traceback: str, version: str
 ) -> str:
-    """Say what is wrong in one plain line, without program internals."""
+    """Return an error page of one plain text line without internals."""
     cherrypy.response.headers["Content-Type"] = "text/plain;charset=utf-8"
-    if status.startswith(FAULT):
-        # CherryPy keeps the reason to itself here; without this line the
-        # operator sees a 500 and nothing says why.
+    if status.startswith(INTERNAL_ERROR):
+        # With a custom error page, CherryPy does not log the exception. An
+        # operator would see status 500 without any record of the cause.
         log(Event.CALL_FAILED, "error", trace=format_exc())
     return html.unescape(message) + "\n"
 
 
 def require_operator(settings: Settings, runner: Scheduler) -> Operator:
-    """Return the operator who asks, or answer 401."""
+    """Return the operator whose key the request has, or answer 401."""
     key = cherrypy.request.headers.get(OPERATOR_HEADER, "")
     operator = settings.find_operator(key)
     if operator is None:
-        # Not on the audit trail: anybody could fill the disks with it.
-        runner.schedule(_log_refusal, cherrypy.request.remote.ip)
+        # Not in the audit trail: anybody could fill the disks that way.
+        runner.schedule(_log_refused_key, cherrypy.request.remote.ip)
         raise cherrypy.HTTPError(401, "no operator has this key")
     return operator
 
 
 def require_post() -> None:
-    """Answer 405 to anything but POST; a mere look must change nothing."""
+    """Answer 405 to methods other than POST, as reads must change nothing."""
     if cherrypy.request.method == "POST":
         return
     cherrypy.response.headers["Allow"] = "POST"
@@ -57,10 +57,10 @@
 
 
 def as_json(value: Any) -> bytes:
-    """Return a page's body as JSON."""
+    """Return a value as the JSON body of a page."""
     cherrypy.response.headers["Content-Type"] = "application/json"
     return msgspec.json.encode(value)
 
 
-def _log_refusal(remote: str) -> None:
+def _log_refused_key(remote: str) -> None:
     log(Event.KEY_REFUSED, "warning", remote=remote)
--- a/packages/daemon/nutmegchute_daemon/metrics.py
+++ b/packages/daemon/nutmegchute_daemon/metrics.py
@@ -48,7 +48,7 @@
 
     One datagram per count would cost three system calls per request on the
     event loop, each of which hands the interpreter lock to another thread.
-    Each flush sends all that was collected together.
+    Each flush sends everything that was collected in one datagram.
     """
 
     __slots__ = (
--- a/packages/daemon/nutmegchute_daemon/periods.py
+++ b/packages/daemon/nutmegchute_daemon/periods.py
@@ -1,4 +1,4 @@
-"""Do work again and again, for as long as a daemon runs."""
+"""Run periodic work while a daemon runs."""
 
 import asyncio
 import inspect
@@ -13,15 +13,18 @@
 
 
 async def repeat(period_s: float, work: Work) -> None:
-    """Do some work every ``period_s`` seconds until cancelled."""
+    """Call a function, wait ``period_s`` seconds and repeat.
+
+    Exceptions of the function are logged. Only a cancellation ends the loop.
+    """
     while True:
         try:
             pending = work()
             if inspect.isawaitable(pending):
                 await pending
         except Exception:
-            # Were the task to end with it, control would take in no replica
-            # any more, or a router drop no dead endpoint, without a line.
+            # If the exception ended the task, control would silently stop
+            # admitting replicas, or a router stop removing dead endpoints.
             log(
                 Event.WORK_FAILED,
                 "error",
