--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""Build what is deployed."""
+"""Test the build of the deployment."""
 
 import os
 import shutil
@@ -9,7 +9,7 @@
 SOURCES = ("packages/core", "packages/daemon", "platform", "deploy")
 LONG_AGO_S = 1_000_000_000
 
-# Stands for the interpreter: notes what it was asked to do.
+# Replaces the interpreter and records the arguments of each call.
 PYTHON = """#!/bin/sh
 echo "$@" >> {calls}
 mkdir -p target/deps
@@ -17,7 +17,7 @@
 
 
 def build(checkout: Path, calls: Path) -> int:
-    """Run the build; return how often it called the interpreter."""
+    """Run the build; return the number of calls of the interpreter."""
     folder = checkout.parent / "bin"
     folder.mkdir(exist_ok=True)
     python = folder / "python3"
@@ -34,14 +34,14 @@
     return len(calls.read_text().splitlines())
 
 
-def test_changed_sources_are_built_whatever_their_times(
+def test_changed_sources_are_rebuilt_regardless_of_mtime(
     tmp_path: Path,
 ) -> None:
-    """Build anew where a source differs, also if it is older than the stamp.
+    """A changed source is rebuilt even if it is older than the build stamp.
 
-    A checkout is copied together with what was built before, and its files
-    bear the time of the copy's beginning. By their times all was built
-    already, and the code of before was deployed in place of what is there.
+    A checkout is copied together with an earlier build, and its files have
+    the time at which the copy began. A build that compared times would deploy
+    the earlier code instead of the sources in the checkout.
     """
     checkout = tmp_path / "checkout"
     for source in SOURCES:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Hold the pages to the programs that they describe."""
+"""Test that the documentation agrees with the programs."""
 
 import re
 import shlex
@@ -27,11 +27,10 @@
 TARGET = re.compile(r"(?:^ {2,}|`)make ([a-z.][\w/.-]*)", re.MULTILINE)
 
 
-def test_every_command_is_understood() -> None:
-    """Parse each command of the pages by the command line's own usage.
+def test_every_command_parses() -> None:
+    """The command line's usage accepts each command in the documentation.
 
-    The last listing of a page may be old; an operator who copies a command
-    that no longer exists loses time when there is least of it.
+    An operator who copies an outdated command loses time in an incident.
     """
     commands = []
     for path in PAGES:
@@ -42,18 +41,18 @@
             assert mention.split()[1] in cli.COMMANDS, path.name
     assert len(commands) > 30
     for name, command in commands:
-        assert _understood(command), f"{name}: {command}"
+        assert _parses(command), f"{name}: {command}"
 
 
-def test_the_check_itself_can_fail() -> None:
-    """Refuse a command, a flag or a word that is not there."""
-    assert not _understood("nutmegchute frobnicate")
-    assert not _understood("nutmegchute plan declarations --later")
-    assert not _understood("nutmegchute replicas replace control-1")
+def test_check_detects_invalid_commands() -> None:
+    """An unknown command, an unknown flag or a missing argument fails."""
+    assert not _parses("nutmegchute frobnicate")
+    assert not _parses("nutmegchute plan declarations --later")
+    assert not _parses("nutmegchute replicas replace control-1")
 
 
 def test_every_make_target_exists() -> None:
-    """Find each target that the pages name in the Makefile."""
+    """The Makefile has each target that the documentation names."""
     makefile = (ROOT / "Makefile").read_text()
     for path in PAGES:
         for target in TARGET.findall(path.read_text()):
@@ -71,7 +70,7 @@
 
 
 def test_every_page_is_in_the_index() -> None:
-    """Link each page, so that a newcomer can find it."""
+    """The index lists each page, so that readers can find it."""
     index = (DOCS / "index.rst").read_text()
     for path in PAGES:
         if not path.is_relative_to(DOCS) or path.name == "index.rst":
@@ -79,8 +78,8 @@
         assert f"``{path.relative_to(DOCS)}``" in index, path.name
 
 
-def test_every_page_named_is_there() -> None:
-    """Lead a reader to no page that does not exist."""
+def test_every_referenced_page_exists() -> None:
+    """Each page that the documentation refers to exists."""
     for path in PAGES:
         for name in re.findall(r"`([\w/]+\.(?:rst|md))`", path.read_text()):
             places = [DOCS / name, path.parent / name, ROOT / name]
@@ -99,7 +98,7 @@
 def test_declarations_page_and_schema_agree(
     title: str, schema: dict[str, Any]
 ) -> None:
-    """Describe each key of a declaration, and none besides."""
+    """The page describes exactly the keys of each declaration."""
     text = (DOCS / "declarations.rst").read_text()
     section = text.split(f"\n{title}\n---")[1].split("\n---")[0]
     found = re.findall(r"^``(\w+)`` \((.+)\)$", section, re.MULTILINE)
@@ -108,7 +107,7 @@
     assert sorted(required) == sorted(schema.get("required", []))
 
 
-def _understood(command: str) -> bool:
+def _parses(command: str) -> bool:
     words = shlex.split(command)[1:]
     try:
         docopt(cli.__doc__, words, default_help=False)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Hold the examples to the checks and to the workloads they are for."""
+"""Test the examples by ``nutmegchute check`` and their workloads."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
     "stillekilde": {"hall-a", "hall-b", "hall-c"},
 }
 
-# Service, method, path, rule expected, idempotent, priority.
+# Service, method, path, expected rule, idempotent, priority.
 WORKLOADS = {
     "red-andina": [
         ("catalogo", "GET", "/shelves/9", "shelf-lookup", True, "interactive"),
@@ -35,7 +35,7 @@
 def test_check_passes(
     name: str, part: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Find nothing wrong and nothing doubtful."""
+    """The check reports no error and no warning."""
     assert main(["check", str(EXAMPLES / name / part)]) == 0
     out = capsys.readouterr().out
     assert "ok" in out
@@ -44,26 +44,24 @@
 
 @pytest.mark.parametrize("name", sorted(ZONES))
 def test_each_kind_of_request_has_its_rule(name: str) -> None:
-    """Each kind of request has its rule.
-
-    Give every request of the workloads the rule it is meant to have,
-    whatever the order of the rules; each rule states its reason.
-    """
+    """Each request of the workloads matches the rule meant for it."""
     documents = {}
     for path in (EXAMPLES / name / "declarations").glob("*.json"):
         documents[path.stem] = msgspec.json.decode(path.read_bytes())
     services = read_services(documents)
-    for service, method, path_, wanted, idempotent, kind in WORKLOADS[name]:
+    for service, method, path_, expected_rule, idempotent, kind in WORKLOADS[
+        name
+    ]:
         rule = services[service].rule_for(method, path_)
         assert rule is not None
-        assert rule.name == wanted
+        assert rule.name == expected_rule
         assert rule.idempotent == idempotent
         assert rule.priority == kind
 
 
 @pytest.mark.parametrize("name", sorted(ZONES))
 def test_every_zone_has_both_roles(name: str) -> None:
-    """Put a control replica and an entry into each availability zone."""
+    """Each availability zone has a control replica and an entry."""
     for role in ("control", "entry"):
         found = set()
         for path in (EXAMPLES / name / "settings").glob(f"{role}-*.json"):
@@ -73,13 +71,13 @@
         assert found == ZONES[name]
 
 
-def test_check_finds_daemons_that_contradict(
+def test_check_finds_contradictory_settings(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Check finds daemons that contradict.
+    """The check fails if settings files list different control replicas.
 
-    Each file is right by itself, but two list other control replicas.
-    Started so, two majorities could form; the check must refuse.
+    Each file is valid by itself, but with different lists of replicas two
+    majorities could form.
     """
     folder = EXAMPLES / "red-andina" / "settings"
     for zone in ("surco", "miraflores"):
@@ -93,15 +91,15 @@
         path.write_bytes(msgspec.json.encode(document))
     assert main(["check", str(tmp_path), "--json"]) == 2
     rows = msgspec.json.decode(capsys.readouterr().out)
-    wrong = [row["detail"] for row in rows if row["verdict"] == "wrong"]
-    assert any(detail.startswith("control: differs") for detail in wrong)
-    assert any("10.1.1.20:8101" in detail for detail in wrong)
+    details = [row["detail"] for row in rows if row["verdict"] == "wrong"]
+    assert any(detail.startswith("control: differs") for detail in details)
+    assert any("10.1.1.20:8101" in detail for detail in details)
 
 
-def test_check_finds_a_wrong_declaration(
+def test_check_finds_an_invalid_declaration(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Name the file, the place and what is allowed; status 2."""
+    """The check names file, path and allowed value, with status 2."""
     (tmp_path / "lending.json").write_text('{"services": {"a": {"slots": 0}}}')
     (tmp_path / "torn.json").write_text('{"services": ')
     assert main(["check", str(tmp_path)]) == 2
@@ -110,10 +108,10 @@
     assert "not JSON" in out
 
 
-def test_check_knows_routes(
+def test_check_includes_routes(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Check routes as any other declaration; name a service not declared."""
+    """The check names a service that a route uses and none declares."""
     route = (
         '{"host": "a.example", "path_prefix": "/", "idempotent": true,'
         ' "timeout_ms": 900, "service": "%s"}'
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -1,4 +1,4 @@
-"""Test that a fault inside a page is logged and its inside kept inside."""
+"""Test that an exception in a page is logged and not shown."""
 
 import cherrypy
 import pytest
@@ -11,26 +11,25 @@
 
 
 class BrokenPages:
-    """Fail in the two ways that a page can fail."""
+    """Serve two pages, which fail in the two possible ways."""
 
     @cherrypy.expose
     def broken(self) -> bytes:
-        """Fail by a fault of the program."""
+        """Raise an unexpected exception."""
         raise ValueError("the inside of the program")
 
     @cherrypy.expose
     def refused(self) -> bytes:
-        """Fail by refusing what was asked."""
+        """Refuse the request."""
         raise cherrypy.HTTPError(403, "ana may not change <lending>")
 
 
 def test_page_that_fails(capfd: pytest.CaptureFixture[str]) -> None:
-    """A page that fails is logged.
+    """The text of a refusal is shown, that of an exception is logged.
 
-    A refusal reaches the operator word for word, as plain text. A fault of
-    the program reaches the operator as a bare 500, since its inside is of
-    no use there, and the log as NC3006 with the trace, so that somebody
-    can find the cause the next morning.
+    An operator gets a refusal unchanged, as plain text. An unexpected
+    exception gives the operator status 500 without its text. It is logged as
+    NC3006 with its trace, as nothing else would record the cause.
     """
     sink = configure_logs("info", "entry-1")
     address = free_address()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Hold the list of known faults to the tests that CI leaves out."""
+"""Test that KNOWN-RED.txt lists each test that CI leaves out."""
 
 from pathlib import Path
 
@@ -6,8 +6,8 @@
 MARK = "pytest.mark." + "known_red"
 
 
-def test_no_test_is_left_out_without_an_entry() -> None:
-    """Guard against a mark that stays after its entry was taken off."""
+def test_every_marked_test_file_is_listed() -> None:
+    """A mark that stays after its entry was removed would hide a test."""
     listed = (ROOT / "KNOWN-RED.txt").read_text()
     marked = [
         path.name
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Hold the line between decisions and the outside world."""
+"""Test that the core does no I/O and reads no clock."""
 
 import ast
 from pathlib import Path
@@ -41,8 +41,8 @@
     return found
 
 
-def test_core_reaches_nothing_outside() -> None:
-    """Find no I/O, clock or thread module in the core."""
+def test_core_has_no_io_clocks_or_threads() -> None:
+    """The core imports no module for I/O, clocks or threads."""
     folder = Path(nutmegchute_core.__file__).parent
     paths = sorted(folder.rglob("*.py"))
     assert len(paths) > 5
@@ -51,7 +51,7 @@
         assert not found & (FORBIDDEN | CALLS), path.name
 
 
-def test_the_check_itself_finds_a_clock() -> None:
-    """Fail on a module that reads the time, so the check can fail."""
+def test_check_detects_forbidden_imports() -> None:
+    """The check detects a clock and an opened file."""
     assert _imports(ast.parse("from time import monotonic")) & FORBIDDEN
     assert _imports(ast.parse("open('x')")) & CALLS
--- a/tests/test_periods.py
+++ b/tests/test_periods.py
@@ -1,4 +1,4 @@
-"""Test work that is done again and again."""
+"""Test periodic work."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 def test_error_does_not_end_periodic_work(
     coroutine: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Work fails once, for a reason that nobody foresaw, and goes on.
+    """Periodic work that raises once is logged and called again.
 
-    Control takes replicas in by such work. Ended without a line, it would
-    leave the group one short until the next loss stops all changes.
+    Control admits replicas by such work. If it ended silently, a lost replica
+    would not be replaced, and the next loss would prevent all changes.
     """
     logged: list[tuple[Event, str]] = []
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Load what a role needs and no more, as each start of a daemon does."""
+"""Test which packages each role imports at its start."""
 
 import re
 import subprocess
@@ -12,8 +12,8 @@
 ROUTER = "nutmegchute_daemon.routers", "nutmegchute_platform.calls"
 CONTROL = "nutmegchute_daemon.controls", "nutmegchute_platform.controls"
 
-# Run in an interpreter of its own: loads modules where only the listed
-# packages are to be had, and prints what is loaded then.
+# Runs in a separate interpreter: imports modules with only the listed packages
+# available, and prints the names of all imported modules.
 LOADER = """
 import importlib, importlib.metadata, re, sys
 
@@ -36,8 +36,8 @@
 """
 
 
-def loaded(*modules: str) -> set[str]:
-    """Return the packages loaded with these modules on a vm."""
+def imported_packages(*modules: str) -> set[str]:
+    """Return the packages that importing these modules imports on a vm."""
     listed = []
     for line in REQUIREMENTS.read_text().splitlines():
         if line and not line.startswith("#"):
@@ -52,19 +52,19 @@
 
 
 @pytest.mark.parametrize("modules", [ROUTER, CONTROL])
-def test_listed_packages_are_enough(modules: tuple[str, ...]) -> None:
-    """Load a role where just the packages of the deployment are there."""
-    assert "nutmegchute_core" in loaded(
+def test_deployed_packages_suffice(modules: tuple[str, ...]) -> None:
+    """Each role starts with only the packages of the deployment."""
+    assert "nutmegchute_core" in imported_packages(
         "nutmegchute_platform.__main__", *modules
     )
 
 
-def test_router_loads_neither_pages_nor_schemas() -> None:
-    """Come back soon after a loss of power.
+def test_router_imports_neither_pages_nor_schemas() -> None:
+    """A router imports no libraries for pages and schemas.
 
-    All vms lose power and callers wait; how long a router takes until it
-    listens is mostly what it loads. Pages and the checks of declarations
-    are control's, and took more than a third of a router's start.
+    After a power failure of all vms, callers wait until routers listen, which
+    mostly takes the time of their imports. Only control needs pages and the
+    validation of declarations, which took more than a third of the start.
     """
-    found = loaded("nutmegchute_platform.__main__", *ROUTER)
+    found = imported_packages("nutmegchute_platform.__main__", *ROUTER)
     assert not found & {"cherrypy", "jsonschema", "rich"}
