--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -40,7 +40,7 @@
     edge = Edge(
         [upstream], threads=THREADS, slots=SLOTS, deadline_ms=DEADLINE_MS
     )
-    edge.take_bodies(body_bytes, LARGE_BUFFER_BYTES)
+    edge.limit_bodies(body_bytes, LARGE_BUFFER_BYTES)
     pipe.send(edge.address)
     while pipe.recv() != "stop":
         usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -28,8 +28,8 @@
 from nutmegchute_core.ledgers import Ledger
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 
 ZONES = ["miraflores", "san-isidro", "surco"]
 RATES = (20, 100, 200)
@@ -118,14 +118,16 @@
         try:
             cluster.start(controls=3, entries=2)
             controls = [one.address for one in cluster.controls]
-            declare(Path(name), declaration(4000), controls, OPERATOR_KEY)
+            apply_declaration(
+                Path(name), build_declaration(4000), controls, OPERATOR_KEY
+            )
             for _ in range(UPSTREAMS):
                 cluster.add_upstream("prestamos", slots=8)
             for one in cluster.entries:
                 cluster.wait_for(
                     "upstreams",
                     lambda e=one: (
-                        len((cluster.ask(e) or {}).get("upstreams", ()))
+                        len((cluster.fetch(e) or {}).get("upstreams", ()))
                         == UPSTREAMS
                     ),
                 )
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -108,7 +108,7 @@
 
     def in_force(self, leader: Process, index: int) -> bool:
         """Ask whether an index is in force everywhere."""
-        status = self._cluster.ask(leader)
+        status = self._cluster.fetch(leader)
         return bool(status and status["index"] >= index and status["in_force"])
 
 
@@ -353,7 +353,7 @@
         process.restart()
 
         def ready() -> bool:
-            found = cluster.ask(process) or {}
+            found = cluster.fetch(process) or {}
             leads = found.get("state") == "leader"
             return leads and found.get("index") == index
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -28,8 +28,8 @@
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
 from nutmegchute_fakes.clusters import Process
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 
 ZONES = ["miraflores", "san-isidro", "surco"]
 REFRESH_S = 1.0
@@ -149,7 +149,7 @@
         rate = sum(rates) / len(rates)
         share = sum(shares) / len(shares)
         memory = max(one.memory_mb() for one in meters)
-        status = await asyncio.to_thread(cluster.ask, entries[-1])
+        status = await asyncio.to_thread(cluster.fetch, entries[-1])
         known = len(status["upstreams"]) if status else 0
         good &= known == size and rate < GOAL_BYTES_S
         print(
@@ -170,7 +170,9 @@
             count = int(arguments["--entries"])
             cluster.start(controls=1, entries=count, http_threads=4)
             controls = [one.address for one in cluster.controls]
-            declare(Path(name), declaration(2000), controls, OPERATOR_KEY)
+            apply_declaration(
+                Path(name), build_declaration(2000), controls, OPERATOR_KEY
+            )
             seconds = float(arguments["--seconds"])
             good = asyncio.run(_measure(cluster, sizes, seconds))
         finally:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -22,8 +22,8 @@
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
 from nutmegchute_fakes.clusters import Process
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 
 from .loads import build_request
 from .loads import Side
@@ -77,12 +77,12 @@
     cluster.start(controls=1, entries=1, cpus=cpus)
     entry = cluster.entries[0]
     controls = [one.address for one in cluster.controls]
-    declare(folder, declaration(2000), controls, OPERATOR_KEY)
+    apply_declaration(folder, build_declaration(2000), controls, OPERATOR_KEY)
     for _ in range(UPSTREAMS):
         cluster.add_upstream("catalogo", service_ms=0)
 
     def complete() -> bool:
-        status = cluster.ask(entry)
+        status = cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == UPSTREAMS
 
     cluster.wait_for("the upstreams", complete)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -119,13 +119,13 @@
         for entry in self.cluster.entries:
             self.cluster.wait_for(
                 f"{entry.name} to follow",
-                lambda one=entry: (self.cluster.ask(one) or {}).get("index"),
+                lambda one=entry: (self.cluster.fetch(one) or {}).get("index"),
             )
 
     def change(self, documents: dict[str, Any]) -> Any:
         """Change branches at the leader; return its answer."""
         leader = self.leader
-        tree = self.cluster.ask(leader, "/tree")
+        tree = self.cluster.fetch(leader, "/tree")
         assert tree is not None
         body = {
             "change_id": f"slope-{time.monotonic_ns()}",
@@ -258,7 +258,7 @@
         rig.cluster.add_upstream("service-0", slots=64)
         rig.cluster.wait_for(
             "the upstream",
-            lambda: (rig.cluster.ask(entry) or {}).get("upstreams"),
+            lambda: (rig.cluster.fetch(entry) or {}).get("upstreams"),
         )
         for rate in CALL_POINTS:
             with _calls(entry.address, rate, "GET", "/kind-1"):
@@ -336,7 +336,7 @@
 
 
 def _in_force(rig: Rig, index: int) -> bool:
-    status = rig.cluster.ask(rig.leader)
+    status = rig.cluster.fetch(rig.leader)
     assert status is not None
     return bool(status["index"] >= index and status["in_force"])
 
--- a/packages/fakes/nutmegchute_fakes/callers.py
+++ b/packages/fakes/nutmegchute_fakes/callers.py
@@ -22,7 +22,7 @@
     """Say that no known entry answered."""
 
 
-class Shot:
+class CallResult:
     """Hold what became of one request."""
 
     __slots__ = ("entry", "identity", "latency_s", "outcome")
@@ -75,7 +75,7 @@
             return self._entries
         raise NoEntryError("no entry answered")
 
-    def shoot(
+    def call(
         self,
         identity: str,
         service: str,
@@ -83,7 +83,7 @@
         path: str,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
-    ) -> Shot:
+    ) -> CallResult:
         """Send one request to one entry and judge the answer."""
         entries = self.learn()
         self._turn += 1
@@ -98,7 +98,7 @@
         latency_s = time.perf_counter() - started
         if outcome != ANSWERED:
             self._kept_until = 0.0
-        return Shot(identity, outcome, latency_s, entry)
+        return CallResult(identity, outcome, latency_s, entry)
 
     def _send(
         self, url: str, method: str, body: bytes, headers: dict[str, str]
--- a/packages/fakes/nutmegchute_fakes/clusters.py
+++ b/packages/fakes/nutmegchute_fakes/clusters.py
@@ -62,7 +62,7 @@
         return self._process.pid
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Tell whether the process lives."""
         return self._process.poll() is None
 
@@ -76,7 +76,7 @@
 
     def kill(self) -> None:
         """Kill the process and reap it."""
-        if self.running:
+        if self.is_running:
             self._process.kill()
         self._process.wait()
 
@@ -136,7 +136,7 @@
             self.entries.append(self._daemon(document))
         self.wait_for("a leader", self.leader)
         for entry in self.entries:
-            self.wait_for(entry.name, lambda one=entry: self.ask(one))
+            self.wait_for(entry.name, lambda one=entry: self.fetch(one))
 
     def add_control(self, name: str) -> dict[str, str]:
         """Start a control replica with an empty folder; return its line."""
@@ -168,7 +168,7 @@
         self.upstreams.append(process)
         return process
 
-    def ask(self, process: Process, path: str = "/status") -> Any | None:
+    def fetch(self, process: Process, path: str = "/status") -> Any | None:
         """Ask a process over HTTP; None says that it did not answer."""
         try:
             answer = self._pool.request(
@@ -183,7 +183,7 @@
     def leader(self) -> Process | None:
         """Return the control replica that leads, if one does."""
         for process in self.controls:
-            status = self.ask(process) if process.running else None
+            status = self.fetch(process) if process.is_running else None
             if status is not None and status["state"] == "leader":
                 return process
         return None
@@ -207,7 +207,7 @@
         """Stop every process, by force where asking does not do."""
         everyone = [*self.upstreams, *self.entries, *self.controls]
         for process in everyone:
-            if process.running:
+            if process.is_running:
                 process.signal(15)
         deadline = time.monotonic() + STOP_S
         for process in everyone:
--- a/packages/fakes/nutmegchute_fakes/controls.py
+++ b/packages/fakes/nutmegchute_fakes/controls.py
@@ -17,8 +17,8 @@
 
 OPERATOR_HEADER = "Nutmegchute-Operator"
 ANSWER_LOST = "answer lost"
-NEVER_ARRIVED = "never arrived"
-OTHER_FIRST = "another operator first"
+REQUEST_LOST = "never arrived"
+CONCURRENT_CHANGE = "another operator first"
 
 POLL_S = 0.01
 
@@ -38,7 +38,7 @@
         self.quarantine: list[dict[str, Any]] = []
         self.evacuations = Evacuations()
         self.posts: list[tuple[str, Any]] = []
-        self.intrude: Callable[[], object] = lambda: None
+        self.concurrent_change: Callable[[], object] = lambda: None
         self._index = 0
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), _handler(self))
         self._thread = threading.Thread(
@@ -70,7 +70,7 @@
         self._server.server_close()
         self._thread.join()
 
-    def page(self, path: str) -> Any:
+    def get_page(self, path: str) -> Any:
         """Return what a GET shows; None where there is no such page."""
         pages = {
             "/tree": {
@@ -98,16 +98,16 @@
         }
         return pages.get(path)
 
-    def take(self, path: str, key: str, body: Any) -> tuple[int, Any]:
+    def handle_post(self, path: str, key: str, body: Any) -> tuple[int, Any]:
         """Take a POST; return the HTTP status and the answer."""
         operator = self.operators.get(key)
         if operator is None:
             return 401, "no operator has this key"
         fault = self.faults.pop(0) if self.faults else ""
-        if fault == NEVER_ARRIVED:
+        if fault == REQUEST_LOST:
             return 503, "no leader"
-        if fault == OTHER_FIRST:
-            self.intrude()
+        if fault == CONCURRENT_CHANGE:
+            self.concurrent_change()
         self.posts.append((path, body))
         answer: Any = {"outcome": "accepted", "detail": "done"}
         if path == "/quarantine":
@@ -140,14 +140,14 @@
 def _handler(control: FakeControl) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self) -> None:
-            page = control.page(self.path.partition("?")[0])
+            page = control.get_page(self.path.partition("?")[0])
             self._answer(404 if page is None else 200, page)
 
         def do_POST(self) -> None:
             length = int(self.headers["Content-Length"])
             body = msgspec.json.decode(self.rfile.read(length))
             key = self.headers.get(OPERATOR_HEADER, "")
-            self._answer(*control.take(self.path, key, body))
+            self._answer(*control.handle_post(self.path, key, body))
 
         def log_message(self, format: str, *args: Any) -> None:
             """Keep the test's output clean."""
--- a/packages/fakes/nutmegchute_fakes/demo.py
+++ b/packages/fakes/nutmegchute_fakes/demo.py
@@ -21,9 +21,9 @@
 from docopt import docopt
 
 from .callers import ANSWERED
+from .callers import CallResult
 from .callers import FakeCaller
 from .callers import REFUSED
-from .callers import Shot
 from .callers import UNKNOWN
 from .callers import WRONG
 from .clusters import Cluster
@@ -38,7 +38,7 @@
 RATE_PER_S = 100
 
 
-def declaration(deadline_ms: int) -> dict[str, object]:
+def build_declaration(deadline_ms: int) -> dict[str, object]:
     """Build the demo team's document."""
     rules = [
         {
@@ -62,7 +62,7 @@
     return {"services": {"prestamos": service, "catalogo": service}}
 
 
-def declare(
+def apply_declaration(
     folder: Path, document: dict[str, object], controls: list[str], key: str
 ) -> None:
     """Apply a document of the team "lending" by the command line."""
@@ -89,7 +89,7 @@
         self._folder = folder
         self._requests = requests
         self._cluster = Cluster(folder, ZONES)
-        self._shots: list[Shot] = []
+        self._shots: list[CallResult] = []
         self._in_force_s = 0.0
 
     def run(self) -> bool:
@@ -116,7 +116,7 @@
         print("the whole path is up")
 
     def _knows(self, entry: Process, upstreams: int) -> bool:
-        status = self._cluster.ask(entry)
+        status = self._cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == upstreams
 
     def _load(self) -> None:
@@ -150,7 +150,7 @@
         identity = f"request-{number}"
         headers = {"Idempotency-Key": identity} if loan else {}
         for _ in range(TRIES):
-            shot = caller.shoot(identity, service, method, path, body, headers)
+            shot = caller.call(identity, service, method, path, body, headers)
             if shot.outcome != REFUSED:
                 break
             # "Not run" is a promise, so even a loan may be sent again.
@@ -175,13 +175,13 @@
 
     def _apply(self, deadline_ms: int) -> None:
         addresses = [one.address for one in self._cluster.controls]
-        document = declaration(deadline_ms)
-        declare(self._folder, document, addresses, OPERATOR_KEY)
+        document = build_declaration(deadline_ms)
+        apply_declaration(self._folder, document, addresses, OPERATOR_KEY)
 
     def _ran_twice(self) -> int:
         ran: Counter[str] = Counter()
         for upstream in self._cluster.upstreams:
-            for identity in self._cluster.ask(upstream, "/_ran") or []:
+            for identity in self._cluster.fetch(upstream, "/_ran") or []:
                 ran[identity] += 1
         loans = {f"request-{n}" for n in range(0, self._requests, LOAN_EVERY)}
         return sum(1 for one in loans if ran[one] > 1)
--- a/packages/fakes/nutmegchute_fakes/edges.py
+++ b/packages/fakes/nutmegchute_fakes/edges.py
@@ -41,7 +41,7 @@
         hedge: bool = False,
     ) -> None:
         self.address = free_address()
-        self.settled: list[str] = []
+        self.outcomes: list[str] = []
         self._http = HttpServer(self.address, threads)
         self._http.limit_body(BODY_BYTES)
         self._loop = asyncio.new_event_loop()
@@ -64,17 +64,17 @@
         self._http.add_handler(CALL_PATH, self.handler)
         self._http.start()
 
-    def take_bodies(self, most: int, kept: int) -> None:
+    def limit_bodies(self, most: int, kept: int) -> None:
         """Take bodies of so many bytes, and keep so much of each."""
         self._http.limit_body(most)
         self.handler.body_bytes = most
         self.handler.buffer_limit = lambda host, path: kept
 
-    def in_flight(self) -> int:
+    def count_in_flight(self) -> int:
         """Count the calls without an outcome."""
         return int(self._runner.run_sync(lambda: self._balancer.in_flight))
 
-    def decide_by(self, balancer: Any) -> None:
+    def use_balancer(self, balancer: Any) -> None:
         """Let another balancer decide from now on."""
         self._runner.run_sync(self._build_dispatcher, balancer)
 
@@ -83,11 +83,11 @@
         host, _, port = self.address.rpartition(":")
         return socket.create_connection((host, int(port)), timeout=10.0)
 
-    def say(self, data: bytes) -> bytes:
+    def send_raw(self, data: bytes) -> bytes:
         """Send bytes on a connection of their own; return all that comes."""
         with self.connect() as sock:
             sock.sendall(data)
-            return drain(sock)
+            return read_to_end(sock)
 
     def call(
         self, path: str, method: str = "GET", body: bytes = b"", more: str = ""
@@ -99,7 +99,7 @@
         )
         if body:
             head += f"Content-Length: {len(body)}\r\n"
-        return self.say(head.encode() + b"\r\n" + body)
+        return self.send_raw(head.encode() + b"\r\n" + body)
 
     def stop(self) -> None:
         """Stop serving."""
@@ -129,7 +129,7 @@
         self.handler.dispatcher = _CallTaker(self.dispatcher)
 
     def _settle(self, pending: PendingCall, outcome: str) -> None:
-        self.settled.append(outcome)
+        self.outcomes.append(outcome)
 
     def _sweep(self) -> None:
         self._runner.run_deferred()
@@ -153,7 +153,7 @@
         """Take word that an instance has left; here none have names."""
 
 
-def drain(sock: socket.socket) -> bytes:
+def read_to_end(sock: socket.socket) -> bytes:
     """Return all bytes until the end, or until a reset."""
     data = b""
     try:
--- a/packages/fakes/nutmegchute_fakes/evacuations.py
+++ b/packages/fakes/nutmegchute_fakes/evacuations.py
@@ -15,23 +15,23 @@
 # Long enough for the bound to pass and calls to be judged.
 LASTS_S = (16.0, 20.0)
 # An entry that was out of touch acts on what it knew until its lease ends.
-BOUND_S = 12.0
+MAX_EFFECT_DELAY_S = 12.0
 
 
-class Span:
+class EvacuationPeriod:
     """Hold when an evacuation was acknowledged and when taken back."""
 
-    __slots__ = ("acknowledged_at", "taken_back_at", "zone")
+    __slots__ = ("acknowledged_at", "ended_at", "zone")
 
     def __init__(self, zone: str, acknowledged_at: float) -> None:
         self.zone = zone
         self.acknowledged_at = acknowledged_at
-        self.taken_back_at = float("inf")
+        self.ended_at = float("inf")
 
     def forbids(self, zone: str, at: float) -> bool:
         """Tell whether nothing may have run in a zone at a time."""
-        bound_at = self.acknowledged_at + BOUND_S
-        return zone == self.zone and bound_at < at < self.taken_back_at
+        bound_at = self.acknowledged_at + MAX_EFFECT_DELAY_S
+        return zone == self.zone and bound_at < at < self.ended_at
 
 
 class Evacuator:
@@ -44,7 +44,7 @@
         self._zones = zones
         self._random = random
         self._end = threading.Event()
-        self.spans: list[Span] = []
+        self.spans: list[EvacuationPeriod] = []
 
     def run(self, seconds: float) -> None:
         """Play for some seconds; no zone is evacuated when it returns."""
@@ -55,10 +55,10 @@
             zone = self._random.choice(self._zones)
             if self._order(zone, True):
                 print(f"evacuated {zone}", flush=True)
-                span = Span(zone, time.time())
+                span = EvacuationPeriod(zone, time.time())
                 self.spans.append(span)
                 self._end.wait(self._random.uniform(*LASTS_S))
-                span.taken_back_at = time.time()
+                span.ended_at = time.time()
             while not self._order(zone, False):
                 time.sleep(1.0)
 
@@ -73,8 +73,8 @@
         return True
 
 
-def reached(
-    spans: list[Span], runs: list[tuple[str, float, str]]
+def find_forbidden_runs(
+    spans: list[EvacuationPeriod], runs: list[tuple[str, float, str]]
 ) -> list[str]:
     """Name what ran in an evacuated zone; runs are zone, time and name."""
     found = []
--- a/packages/fakes/nutmegchute_fakes/faults.py
+++ b/packages/fakes/nutmegchute_fakes/faults.py
@@ -21,7 +21,7 @@
 CRASHED_S = 0.5
 RETRY_S = 1.0
 # Faults of controls are rarer, so that much runs with a quorum as well.
-DRAWS = (
+FAULT_CHOICES = (
     ("entry", KILL),
     ("entry", FREEZE),
     ("entry", DRAIN),
@@ -57,14 +57,14 @@
         )
 
 
-def schedule(
+def draw_schedule(
     random: Random, seconds: float, sizes: dict[str, int]
 ) -> list[Fault]:
     """Draw the faults of a run; equal seeds draw equal ones."""
     faults = []
     at_s = random.uniform(*PAUSE_S)
     while at_s < seconds:
-        role, deed = random.choice(DRAWS)
+        role, deed = random.choice(FAULT_CHOICES)
         place = random.randrange(sizes.get(role, 1))
         down_s = random.uniform(*DOWN_S)
         faults.append(Fault(at_s, role, place, deed, down_s))
@@ -88,7 +88,7 @@
         if self._deed == FREEZE:
             self.process.signal(signal.SIGCONT)
             return True
-        if not self.process.running:
+        if not self.process.is_running:
             # It may end again at once: its port can be in use by a
             # connection of some other process for a moment.
             self.process.restart()
@@ -136,7 +136,7 @@
             threading.Thread(target=self._race, daemon=True).start()
             return
         process = self._processes[fault.role][fault.place]
-        if process.name in self._busy or not process.running:
+        if process.name in self._busy or not process.is_running:
             return
         self._busy.add(process.name)
         if fault.deed == KILL:
@@ -151,7 +151,7 @@
     def _note_crashes(self) -> None:
         """See to upstreams that ended by themselves."""
         for process in self._processes["upstream"]:
-            if process.running or process.name in self._busy:
+            if process.is_running or process.name in self._busy:
                 continue
             self._busy.add(process.name)
             back_at = self._now + CRASHED_S
--- a/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
+++ b/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
@@ -14,7 +14,7 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-class Exchange:
+class UpstreamConnection:
     """Hold one connection of a upstream and read requests from it."""
 
     __slots__ = ("_buffer", "_upstream", "_socket")
@@ -68,7 +68,7 @@
         with contextlib.suppress(OSError):
             while self._socket.recv(READ_BYTES):
                 pass
-        self._upstream.closed.set()
+        self._upstream.peer_closed.set()
 
     def _read_until(self, mark: bytes) -> bytes | None:
         while mark not in self._buffer:
@@ -91,7 +91,7 @@
         return bool(data)
 
 
-Behaviour = Callable[[Exchange], None]
+Behaviour = Callable[[UpstreamConnection], None]
 
 
 class FaultyUpstream:
@@ -102,8 +102,8 @@
         self._requests: list[bytes] = []
         self._connections = 0
         # The other side has closed a connection; this side has.
-        self.closed = threading.Event()
-        self.left = threading.Event()
+        self.peer_closed = threading.Event()
+        self.connection_ended = threading.Event()
         self.release = threading.Event()
         self._listener = socket.create_server(
             ("127.0.0.1", 0), backlog=BACKLOG
@@ -147,159 +147,159 @@
 
     def _treat(self, sock: socket.socket) -> None:
         with sock, contextlib.suppress(OSError):
-            self._behaviour(Exchange(self, sock))
-        self.left.set()
+            self._behaviour(UpstreamConnection(self, sock))
+        self.connection_ended.set()
 
 
-def whole(body: bytes, *headers: bytes) -> bytes:
+def build_answer(body: bytes, *headers: bytes) -> bytes:
     """Build a whole answer of known length."""
     length = b"Content-Length: %d\r\n" % len(body)
     more = b"".join(header + CRLF for header in headers)
     return OK + length + more + CRLF + body
 
 
-def answer(exchange: Exchange) -> None:
+def answer(connection: UpstreamConnection) -> None:
     """Answer every request with its own target."""
-    while (request := exchange.read()) is not None:
-        exchange.write(whole(request.split(b" ")[1]))
+    while (request := connection.read()) is not None:
+        connection.write(build_answer(request.split(b" ")[1]))
 
 
-def shed(exchange: Exchange) -> None:
+def shed(connection: UpstreamConnection) -> None:
     """Say "not run" before running anything."""
-    while exchange.read() is not None:
-        exchange.write(
+    while connection.read() is not None:
+        connection.write(
             b"HTTP/1.1 503 Shed\r\nNutmegchute-Not-Run: shed\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
 
 
-def lie_about_not_run(exchange: Exchange) -> None:
+def answer_marked_not_run(connection: UpstreamConnection) -> None:
     """Say "not run" beside an answer that shows that it ran."""
-    while exchange.read() is not None:
-        exchange.write(whole(b"lent", b"Nutmegchute-Not-Run: shed"))
+    while connection.read() is not None:
+        connection.write(build_answer(b"lent", b"Nutmegchute-Not-Run: shed"))
 
 
-def reset_after_head(exchange: Exchange) -> None:
+def reset_after_head(connection: UpstreamConnection) -> None:
     """Reset the connection once the head is out."""
-    exchange.read()
-    exchange.write(OK + b"Content-Length: 10\r\n\r\n")
-    exchange.reset()
+    connection.read()
+    connection.write(OK + b"Content-Length: 10\r\n\r\n")
+    connection.reset()
 
 
-def reset_at_once(exchange: Exchange) -> None:
+def reset_at_once(connection: UpstreamConnection) -> None:
     """Reset the connection once the request is in."""
-    exchange.read()
-    exchange.reset()
+    connection.read()
+    connection.reset()
 
 
-def half_a_body(exchange: Exchange) -> None:
+def truncate_body(connection: UpstreamConnection) -> None:
     """Close after half of the announced length."""
-    exchange.read()
-    exchange.write(OK + b"Content-Length: 10\r\n\r\nhalf!")
+    connection.read()
+    connection.write(OK + b"Content-Length: 10\r\n\r\nhalf!")
 
 
-def half_a_long_body(exchange: Exchange) -> None:
+def truncate_long_body(connection: UpstreamConnection) -> None:
     """Close after the first part of a body too long to be held."""
-    exchange.read()
-    exchange.write(OK + b"Content-Length: 400000\r\n\r\n" + b"x" * 200000)
+    connection.read()
+    connection.write(OK + b"Content-Length: 400000\r\n\r\n" + b"x" * 200000)
 
 
-def half_the_chunks(exchange: Exchange) -> None:
+def truncate_chunks(connection: UpstreamConnection) -> None:
     """Close after the first chunk, without the last one."""
-    exchange.read()
-    exchange.write(OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhalf!\r\n")
+    connection.read()
+    connection.write(OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhalf!\r\n")
 
 
-def chunks(exchange: Exchange) -> None:
+def answer_chunked(connection: UpstreamConnection) -> None:
     """Answer in two whole chunks."""
-    while exchange.read() is not None:
-        exchange.write(
+    while connection.read() is not None:
+        connection.write(
             OK + b"Transfer-Encoding: chunked\r\n\r\n"
             b"5\r\nwhole\r\n1\r\n!\r\n0\r\n\r\n"
         )
 
 
-def unframed(exchange: Exchange) -> None:
+def answer_without_length(connection: UpstreamConnection) -> None:
     """Answer without a length and close."""
-    exchange.read()
-    exchange.write(OK + CRLF + b"until the end")
+    connection.read()
+    connection.write(OK + CRLF + b"until the end")
 
 
-def two_answers(exchange: Exchange) -> None:
+def answer_twice(connection: UpstreamConnection) -> None:
     """Send a second answer that nobody asked for."""
-    while (request := exchange.read()) is not None:
-        own = whole(request.split(b" ")[1])
-        exchange.write(own + whole(b"/another-patron"))
+    while (request := connection.read()) is not None:
+        own = build_answer(request.split(b" ")[1])
+        connection.write(own + build_answer(b"/another-patron"))
 
 
-def early_hint(exchange: Exchange) -> None:
+def send_early_hint(connection: UpstreamConnection) -> None:
     """Send an interim answer before the true one."""
-    while (request := exchange.read()) is not None:
-        exchange.write(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
-        exchange.write(whole(request.split(b" ")[1]))
+    while (request := connection.read()) is not None:
+        connection.write(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
+        connection.write(build_answer(request.split(b" ")[1]))
 
 
-def close_when_idle(exchange: Exchange) -> None:
+def close_when_idle(connection: UpstreamConnection) -> None:
     """Answer once, promise to go on, and close."""
-    exchange.read()
-    exchange.write(whole(b"once"))
+    connection.read()
+    connection.write(build_answer(b"once"))
 
 
-def close_as_written(exchange: Exchange) -> None:
+def reset_second_request(connection: UpstreamConnection) -> None:
     """Answer once; close as soon as the second request arrives."""
-    exchange.read()
-    exchange.write(whole(b"once"))
-    exchange.read()
-    exchange.reset()
+    connection.read()
+    connection.write(build_answer(b"once"))
+    connection.read()
+    connection.reset()
 
 
-def stay_silent(exchange: Exchange) -> None:
+def never_answer(connection: UpstreamConnection) -> None:
     """Take the request and say nothing until the other side closes."""
-    exchange.read()
-    exchange.wait_for_close()
+    connection.read()
+    connection.wait_for_close()
 
 
-def turn_silent(exchange: Exchange) -> None:
+def stop_answering(connection: UpstreamConnection) -> None:
     """Answer well, and when released take requests and say nothing."""
-    while (request := exchange.read()) is not None:
-        if exchange.upstream.release.is_set():
-            exchange.wait_for_close()
+    while (request := connection.read()) is not None:
+        if connection.upstream.release.is_set():
+            connection.wait_for_close()
             return
-        exchange.write(whole(request.split(b" ")[1]))
+        connection.write(build_answer(request.split(b" ")[1]))
 
 
-def answer_late(exchange: Exchange) -> None:
+def answer_late(connection: UpstreamConnection) -> None:
     """Answer when released; the entry has given up by then."""
-    while (request := exchange.read()) is not None:
-        exchange.upstream.release.wait()
-        exchange.write(whole(request.split(b" ")[1]))
+    while (request := connection.read()) is not None:
+        connection.upstream.release.wait()
+        connection.write(build_answer(request.split(b" ")[1]))
 
 
-def trickle_head(exchange: Exchange) -> None:
+def trickle_head(connection: UpstreamConnection) -> None:
     """Send the head one byte at a time, without end."""
-    exchange.read()
-    exchange.write(OK + b"X-Slow: ")
-    while not exchange.upstream.release.wait(0.02):
-        exchange.write(b"x")
+    connection.read()
+    connection.write(OK + b"X-Slow: ")
+    while not connection.upstream.release.wait(0.02):
+        connection.write(b"x")
 
 
-def trickle_body(exchange: Exchange) -> None:
+def trickle_body(connection: UpstreamConnection) -> None:
     """Send a long body one byte at a time."""
-    exchange.read()
-    exchange.write(OK + b"Content-Length: 400000\r\n\r\n")
-    while not exchange.upstream.release.wait(0.02):
-        exchange.write(b"x")
+    connection.read()
+    connection.write(OK + b"Content-Length: 400000\r\n\r\n")
+    while not connection.upstream.release.wait(0.02):
+        connection.write(b"x")
 
 
-def contradict_lengths(exchange: Exchange) -> None:
+def send_conflicting_lengths(connection: UpstreamConnection) -> None:
     """Announce two different lengths."""
-    exchange.read()
-    exchange.write(
+    connection.read()
+    connection.write(
         OK + b"Content-Length: 3\r\nContent-Length: 9\r\n\r\nabcdefghi"
     )
 
 
-def split_header(exchange: Exchange) -> None:
+def fold_header(connection: UpstreamConnection) -> None:
     """Fold a header so that a careless copy starts a second header."""
-    while exchange.read() is not None:
-        exchange.write(whole(b"ok", b"X-Note: a\r\n Set-Cookie: b"))
+    while connection.read() is not None:
+        connection.write(build_answer(b"ok", b"X-Note: a\r\n Set-Cookie: b"))
--- a/packages/fakes/nutmegchute_fakes/proofs.py
+++ b/packages/fakes/nutmegchute_fakes/proofs.py
@@ -24,7 +24,7 @@
 PASSED = "passed"
 
 
-class Outcomes:
+class OutcomeCollector:
     """Collect each test's outcome from pytest."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         if self._worst.get(report.nodeid, PASSED) == PASSED:
             self._worst[report.nodeid] = report.outcome
 
-    def passed(self, node: str) -> bool:
+    def has_passed(self, node: str) -> bool:
         """Tell whether a node's tests, at least one, all passed."""
         outcomes = []
         for name, outcome in self._worst.items():
@@ -56,7 +56,9 @@
     return points
 
 
-def judge(points: dict[int, list[str]], outcomes: Outcomes) -> list[int]:
+def check_points(
+    points: dict[int, list[str]], outcomes: OutcomeCollector
+) -> list[int]:
     """List the points that hold, and say why others do not."""
     holding = []
     for point in range(1, POINTS + 1):
@@ -64,7 +66,7 @@
         if not nodes:
             print(f"point {point}: no test")
             continue
-        wrong = [node for node in nodes if not outcomes.passed(node)]
+        wrong = [node for node in nodes if not outcomes.has_passed(node)]
         for node in wrong:
             print(f"point {point}: did not pass: {node}")
         if not wrong:
@@ -79,10 +81,10 @@
     nodes: list[str] = []
     for listed in points.values():
         nodes.extend(node for node in listed if node not in nodes)
-    outcomes = Outcomes()
+    outcomes = OutcomeCollector()
     options = ["-p", "no:terminal"] if arguments["--quiet"] else []
     status = pytest.main([*options, *nodes], plugins=[outcomes])
-    holding = judge(points, outcomes)
+    holding = check_points(points, outcomes)
     print(f"proofs {len(holding)} of {POINTS} points hold")
     return 0 if len(holding) == POINTS and status == 0 else 1
 
--- a/packages/fakes/nutmegchute_fakes/soak.py
+++ b/packages/fakes/nutmegchute_fakes/soak.py
@@ -46,14 +46,14 @@
 from .clusters import Cluster
 from .clusters import OPERATOR_KEY
 from .clusters import Process
-from .demo import declaration
-from .demo import declare
+from .demo import apply_declaration
+from .demo import build_declaration
+from .evacuations import EvacuationPeriod
 from .evacuations import Evacuator
-from .evacuations import reached
-from .evacuations import Span
+from .evacuations import find_forbidden_runs
+from .faults import draw_schedule
 from .faults import Fault
 from .faults import Player
-from .faults import schedule
 from .upstreams import CRASH_PATH
 
 ZONES = ["miraflores", "san-isidro", "surco"]
@@ -73,7 +73,7 @@
 CRASH_NAME = "crash"
 CRASHES_TO_KNOW = 3
 MOST_CRASHES = 3
-KNOWN_S = 15.0
+QUARANTINE_DELAY_S = 15.0
 
 LOOKUP = "lookup"
 KEYED = "keyed-loan"
@@ -81,7 +81,7 @@
 KINDS = (LOOKUP, KEYED, LOOKUP, KEYED, PLAIN)
 
 
-class Told:
+class RequestRecord:
     """Hold what a caller was told of one request, attempt by attempt."""
 
     __slots__ = ("attempts", "kind", "name")
@@ -97,10 +97,10 @@
         return self.attempts[-1][1] if self.attempts else UNKNOWN
 
 
-class Verdict:
+class OutcomeOracle:
     """Compare what callers were told with what ran."""
 
-    def __init__(self, told: list[Told], ran: list[str]) -> None:
+    def __init__(self, told: list[RequestRecord], ran: list[str]) -> None:
         self._told = told
         self._attempts = Counter(ran)
         self._requests = Counter(one.partition(".")[0] for one in ran)
@@ -156,13 +156,13 @@
         self._seconds = seconds
         self._rate = rate
         self._cluster = Cluster(folder, ZONES)
-        self._told: list[Told] = []
+        self._told: list[RequestRecord] = []
         self._lock = threading.Lock()
         self._evacuator: Evacuator | None = None
 
     def run(self) -> bool:
         """Run it all; return whether nothing went wrong."""
-        faults = schedule(
+        faults = draw_schedule(
             Random(self._seed),
             self._seconds,
             {"entry": ENTRIES, "control": CONTROLS, "upstream": UPSTREAMS},
@@ -190,7 +190,7 @@
             )
 
     def _knows_all(self, entry: Process) -> bool:
-        status = self._cluster.ask(entry)
+        status = self._cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == UPSTREAMS
 
     def _play(self, faults: list[Fault]) -> None:
@@ -230,7 +230,7 @@
         while time.monotonic() < until:
             name = f"{CRASH_NAME}-{number}"
             with contextlib.suppress(NoEntryError):
-                caller.shoot(name, "prestamos", "GET", CRASH_PATH)
+                caller.call(name, "prestamos", "GET", CRASH_PATH)
             number += 1
             time.sleep(CRASH_GAP_S)
 
@@ -244,7 +244,7 @@
         with self._lock:
             caller = free.pop()
         kind = KINDS[number % len(KINDS)]
-        told = Told(f"{kind}-{number}", kind)
+        told = RequestRecord(f"{kind}-{number}", kind)
         try:
             self._see_through(caller, told, number)
         finally:
@@ -253,7 +253,7 @@
                 self._told.append(told)
 
     def _see_through(
-        self, caller: FakeCaller, told: Told, number: int
+        self, caller: FakeCaller, told: RequestRecord, number: int
     ) -> None:
         service = "prestamos" if number % 2 else "catalogo"
         give_up_at = time.monotonic() + LOOKUP_S
@@ -273,15 +273,19 @@
             time.sleep(TRY_AGAIN_S)
 
     def _shoot(
-        self, caller: FakeCaller, told: Told, service: str, attempt: str
+        self,
+        caller: FakeCaller,
+        told: RequestRecord,
+        service: str,
+        attempt: str,
     ) -> str:
         if told.kind == LOOKUP:
-            return caller.shoot(attempt, service, "GET", "/shelf").outcome
+            return caller.call(attempt, service, "GET", "/shelf").outcome
         headers = {}
         if told.kind == KEYED:
             headers["Idempotency-Key"] = told.name
         body = told.name.encode()
-        return caller.shoot(
+        return caller.call(
             attempt, service, "POST", "/loans", body, headers
         ).outcome
 
@@ -296,15 +300,20 @@
         folder.mkdir(exist_ok=True)
         controls = [one.address for one in self._cluster.controls]
         try:
-            declare(folder, declaration(1900 + number), controls, OPERATOR_KEY)
+            apply_declaration(
+                folder,
+                build_declaration(1900 + number),
+                controls,
+                OPERATOR_KEY,
+            )
         except subprocess.CalledProcessError:
             # A conflict, or no leader: the loser's due.
             return
 
     def _apply(self, deadline_ms: int) -> None:
         controls = [one.address for one in self._cluster.controls]
-        document = declaration(deadline_ms)
-        declare(self._folder, document, controls, OPERATOR_KEY)
+        document = build_declaration(deadline_ms)
+        apply_declaration(self._folder, document, controls, OPERATOR_KEY)
 
     def _judge(self) -> bool:
         ran: list[str] = []
@@ -318,15 +327,15 @@
                 runs.append((zone, float(words[0]), words[-1]))
                 if words[-1].startswith(CRASH_NAME):
                     crashes.append(float(words[0]))
-        verdict = Verdict(self._told, ran)
+        verdict = OutcomeOracle(self._told, ran)
         print(f"{len(self._told)} requests: {verdict.summary()}")
         found = {
             "ran-twice": verdict.ran_twice(),
             "lost": verdict.lost(),
             "crossed": verdict.crossed(),
             "false-not-run": verdict.false_not_run(),
-            "crashed-on": crashed_on(crashes),
-            "evacuated": reached(self._spans, runs),
+            "crashed-on": find_late_crashes(crashes),
+            "evacuated": find_forbidden_runs(self._spans, runs),
         }
         for name, places in found.items():
             for place in places[:5]:
@@ -336,7 +345,7 @@
         return not any(found.values())
 
     @property
-    def _spans(self) -> list[Span]:
+    def _spans(self) -> list[EvacuationPeriod]:
         return [] if self._evacuator is None else self._evacuator.spans
 
     def _story(self, place: str) -> str:
@@ -347,12 +356,12 @@
         return "never told"
 
 
-def crashed_on(crashes: list[float]) -> list[str]:
+def find_late_crashes(crashes: list[float]) -> list[str]:
     """Name the ends of upstreams that a quarantine should have kept off."""
     crashes = sorted(crashes)
     if len(crashes) < CRASHES_TO_KNOW:
         return []
-    known_at = crashes[CRASHES_TO_KNOW - 1] + KNOWN_S
+    known_at = crashes[CRASHES_TO_KNOW - 1] + QUARANTINE_DELAY_S
     late = [at for at in crashes if at > known_at]
     if len(late) <= MOST_CRASHES:
         return []
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -14,8 +14,8 @@
 from nutmegchute_core.calls import Send
 from nutmegchute_fakes import faulty_upstreams
 from nutmegchute_fakes.edges import BODY_BYTES
-from nutmegchute_fakes.edges import drain
 from nutmegchute_fakes.edges import Edge
+from nutmegchute_fakes.edges import read_to_end
 from nutmegchute_fakes.edges import RESET
 from nutmegchute_fakes.faulty_upstreams import Behaviour
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
@@ -129,7 +129,7 @@
     would allow request smuggling.
     """
     before = answering.ran
-    answer = answering.edge.say(BAD_REQUESTS[name] + NEXT)
+    answer = answering.edge.send_raw(BAD_REQUESTS[name] + NEXT)
     assert answer.startswith(b"HTTP/1.1 4") or b" 501 " in answer[:20]
     assert NOT_RUN in answer
     assert answer.count(b"HTTP/1.1 ") == 1
@@ -142,7 +142,7 @@
     with answering.edge.connect() as sock:
         sock.sendall(HEAD + b"Content-Length: 100\r\n\r\nhalf")
         sock.shutdown(socket.SHUT_WR)
-        assert NOT_RUN in drain(sock)
+        assert NOT_RUN in read_to_end(sock)
     assert answering.ran == before
 
 
@@ -159,7 +159,7 @@
                 sock.sendall(chunk)
         except OSError:
             return
-        answer = drain(sock)
+        answer = read_to_end(sock)
     # Part of the body has been sent to the upstream already, which may have
     # acted on it.
     assert UNKNOWN in answer or RESET in answer
@@ -167,7 +167,7 @@
 
 def test_unknown_service_is_refused(answering: EdgeHarness) -> None:
     """Report the reason and that nothing ran."""
-    answer = answering.edge.say(
+    answer = answering.edge.send_raw(
         b"GET /call/nowhere/a HTTP/1.1\r\nConnection: close\r\n\r\n"
     )
     assert NOT_RUN in answer
@@ -235,7 +235,7 @@
 
 def test_trailers_are_not_read_as_a_request(answering: EdgeHarness) -> None:
     """Skip the trailers of a chunked body before the next request."""
-    answer = answering.edge.say(
+    answer = answering.edge.send_raw(
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"
         b"0\r\nX-Sum: 1\r\n\r\n"
         + NEXT.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
@@ -256,7 +256,7 @@
 def test_long_chunked_body_arrives_whole(answering: EdgeHarness) -> None:
     """Stream a body of unknown length in chunks."""
     chunks = b"".join(b"4000\r\n" + b"~" * 16384 + b"\r\n" for _ in range(8))
-    answer = answering.edge.say(
+    answer = answering.edge.send_raw(
         HEAD
         + b"Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
         + chunks
@@ -268,7 +268,7 @@
 
 def test_broken_answer_is_broken_for_the_caller(build: Any) -> None:
     """Pass on a broken answer as broken, not as a complete catalogue."""
-    harness = build(faulty_upstreams.half_a_long_body)
+    harness = build(faulty_upstreams.truncate_long_body)
     answer = harness.edge.call("/long")
     assert b"Content-Length: 400000" in answer
     assert len(answer) < 400000
@@ -280,8 +280,8 @@
     Only the last chunk shows that an answer is complete. Written anyway, it
     would make half a catalogue look complete.
     """
-    harness = build(faulty_upstreams.half_the_chunks)
-    answer = harness.edge.say(HEAD + b"\r\n")
+    harness = build(faulty_upstreams.truncate_chunks)
+    answer = harness.edge.send_raw(HEAD + b"\r\n")
     assert b"5\r\nhalf!\r\n" in answer
     assert b"\r\n0\r\n" not in answer
 
@@ -297,7 +297,7 @@
 
 def test_lookup_with_broken_answer_is_retried(build: Any) -> None:
     """Retry an idempotent call at another upstream if its answer breaks."""
-    harness = build(faulty_upstreams.half_a_body, faulty_upstreams.answer)
+    harness = build(faulty_upstreams.truncate_body, faulty_upstreams.answer)
     for _ in range(6):
         assert harness.edge.call("/shelf").endswith(b"/shelf")
 
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize(
-    "behaviour", [faulty_upstreams.trickle_head, faulty_upstreams.stay_silent]
+    "behaviour", [faulty_upstreams.trickle_head, faulty_upstreams.never_answer]
 )
 def test_deadline_ends_a_trickled_head(
     build: Any, behaviour: Behaviour
@@ -336,12 +336,12 @@
     Otherwise the slot would stay taken until the deadline, and the upstream,
     whose connection stays open, would go on working.
     """
-    harness = build(faulty_upstreams.stay_silent, deadline_ms=60000)
+    harness = build(faulty_upstreams.never_answer, deadline_ms=60000)
     with harness.edge.connect() as sock:
         sock.sendall(HEAD + b"\r\n")
         harness.wait_until(lambda: harness.ran == 1)
-    assert harness.upstreams[0].closed.wait(WAIT_S)
-    harness.wait_until(lambda: harness.edge.in_flight() == 0)
+    assert harness.upstreams[0].peer_closed.wait(WAIT_S)
+    harness.wait_until(lambda: harness.edge.count_in_flight() == 0)
     harness.wait_until(lambda: harness.edge.handler.active == 0)
 
 
@@ -361,7 +361,7 @@
     assert b"Retry-After: 1" in answer
     harness.upstreams[0].release.set()
     for sock in held:
-        assert b" 200 " in drain(sock)[:20]
+        assert b" 200 " in read_to_end(sock)[:20]
         sock.close()
     assert harness.ran == 3
 
@@ -369,15 +369,15 @@
 def test_slow_reader_gets_the_whole_answer(build: Any) -> None:
     """Do not count the wait for a slow reader against the upstream."""
 
-    def long_answer(exchange: faulty_upstreams.Exchange) -> None:
-        exchange.read()
-        exchange.write(faulty_upstreams.whole(b"z" * 8_000_000))
+    def long_answer(connection: faulty_upstreams.UpstreamConnection) -> None:
+        connection.read()
+        connection.write(faulty_upstreams.build_answer(b"z" * 8_000_000))
 
     harness = build(long_answer, deadline_ms=300)
     with harness.edge.connect() as sock:
         sock.sendall(HEAD + b"Connection: close\r\n\r\n")
         threading.Event().wait(1.0)
-        assert drain(sock).count(b"z") == 8_000_000
+        assert read_to_end(sock).count(b"z") == 8_000_000
 
 
 class HedgingBalancer:
@@ -421,10 +421,10 @@
     the other upstream sees its connection close.
     """
     behaviours = [faulty_upstreams.answer, faulty_upstreams.answer]
-    behaviours[slow] = faulty_upstreams.stay_silent
+    behaviours[slow] = faulty_upstreams.never_answer
     harness = build(*behaviours)
     endpoints = [one.address for one in harness.upstreams]
-    harness.edge.decide_by(HedgingBalancer(endpoints))
+    harness.edge.use_balancer(HedgingBalancer(endpoints))
     assert harness.edge.call("/shelf").endswith(b"/shelf")
-    assert harness.upstreams[slow].closed.wait(WAIT_S)
+    assert harness.upstreams[slow].peer_closed.wait(WAIT_S)
     harness.wait_until(lambda: harness.edge.handler.active == 0)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -19,9 +19,9 @@
 from nutmegchute_cli.__main__ import main
 from nutmegchute_core.trees import ACCEPTED
 from nutmegchute_fakes.controls import ANSWER_LOST
+from nutmegchute_fakes.controls import CONCURRENT_CHANGE
 from nutmegchute_fakes.controls import FakeControl
-from nutmegchute_fakes.controls import NEVER_ARRIVED
-from nutmegchute_fakes.controls import OTHER_FIRST
+from nutmegchute_fakes.controls import REQUEST_LOST
 from support import rule as rule_document
 from support import team
 
@@ -32,7 +32,7 @@
 teams = st.sampled_from(TEAMS)
 deadlines = st.integers(1, 3)
 faults = st.lists(
-    st.sampled_from([ANSWER_LOST, NEVER_ARRIVED, OTHER_FIRST]), max_size=2
+    st.sampled_from([ANSWER_LOST, REQUEST_LOST, CONCURRENT_CHANGE]), max_size=2
 )
 
 
@@ -79,7 +79,7 @@
             return
         self.control.faults = list(plan)
         self.changed_concurrently = ""
-        self.control.intrude = lambda: self.change_concurrently(
+        self.control.concurrent_change = lambda: self.change_concurrently(
             name, deadline_ms
         )
         before = self.accepted_by(key)
@@ -159,9 +159,9 @@
         operators.edit("key-1", "lending", 1)
         assert operators.run("key-1") == 0
         operators.edit("key-1", "shelves", 1)
-        operators.control.faults = [OTHER_FIRST]
-        operators.control.intrude = lambda: operators.change_concurrently(
-            "lending", 2
+        operators.control.faults = [CONCURRENT_CHANGE]
+        operators.control.concurrent_change = lambda: (
+            operators.change_concurrently("lending", 2)
         )
         assert operators.run("key-1") == 0
         documents = operators.control.tree.documents
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 from nutmegchute_cli.__main__ import main
 from nutmegchute_fakes.controls import ANSWER_LOST
 from nutmegchute_fakes.controls import FakeControl
-from nutmegchute_fakes.controls import NEVER_ARRIVED
+from nutmegchute_fakes.controls import REQUEST_LOST
 from support import rule
 from support import team
 
@@ -128,7 +128,7 @@
     A replica without a leader proposes nothing: say "nothing was done"
     (status 3), not "may or may not" (status 4).
     """
-    control.faults = [NEVER_ARRIVED]
+    control.faults = [REQUEST_LOST]
     status, _, err = run("apply", declare(tmp_path, 100), "--wait-s=0")
     assert status == 3
     assert "nothing was done" in err
@@ -144,14 +144,14 @@
     """
     folder = declare(tmp_path, 100)
     run("apply", folder)
-    stale = control.page("/tree")
-    mine = control.page
+    stale = control.get_page("/tree")
+    mine = control.get_page
 
     def page_before_bo(path: str) -> Any:
         return stale if path == "/tree" else mine(path)
 
     run("apply", declare(tmp_path, 200), key="key-2")
-    control.page = page_before_bo  # type: ignore[method-assign]
+    control.get_page = page_before_bo  # type: ignore[method-assign]
     status, _, err = run("apply", declare(tmp_path, 300))
     assert status == 1
     assert "bo changed lending first" in err
--- a/tests/test_controls.py
+++ b/tests/test_controls.py
@@ -33,7 +33,7 @@
         for entry in one.entries:
             one.wait_for(
                 f"{entry.name} to follow",
-                lambda e=entry: (one.ask(e) or {}).get("index"),
+                lambda e=entry: (one.fetch(e) or {}).get("index"),
             )
         yield one
     finally:
@@ -83,7 +83,7 @@
 def revision(cluster: Cluster) -> int:
     """Read the branch's revision from the leader."""
     leader = cluster.wait_for("a leader", cluster.leader)
-    tree = cluster.wait_for("a tree", lambda: cluster.ask(leader, "/tree"))
+    tree = cluster.wait_for("a tree", lambda: cluster.fetch(leader, "/tree"))
     return int(tree["revisions"].get("lending", 0))
 
 
@@ -92,7 +92,7 @@
 
     def is_in_force() -> bool:
         leader = cluster.leader()
-        status = cluster.ask(leader) if leader is not None else None
+        status = cluster.fetch(leader) if leader is not None else None
         if status is None:
             return False
         return bool(status["index"] >= index and status["in_force"])
@@ -103,7 +103,7 @@
 def replicas(cluster: Cluster) -> Any:
     """Return the replicas as the leader lists them."""
     leader = cluster.wait_for("a leader", cluster.leader)
-    return cluster.ask(leader, "/replicas")
+    return cluster.fetch(leader, "/replicas")
 
 
 def test_a_killed_leader_loses_no_accepted_change(cluster: Cluster) -> None:
@@ -143,12 +143,12 @@
     assert revision(cluster) == base + 20
     assert change(cluster, "all-19", base + 19) == answers[-1]
     leader = cluster.wait_for("a leader", cluster.leader)
-    audit = cluster.ask(leader, "/audit?limit=20") or []
+    audit = cluster.fetch(leader, "/audit?limit=20") or []
     assert [one["change_id"] for one in audit] == [
         f"all-{number}" for number in range(20)
     ]
     since = audit[-2]["index"]
-    after = cluster.ask(leader, f"/audit?since={since}") or []
+    after = cluster.fetch(leader, f"/audit?since={since}") or []
     assert [one["change_id"] for one in after] == ["all-19"]
 
 
@@ -173,7 +173,7 @@
         old.signal(signal.SIGCONT)
     wait_in_force(cluster, accepted["index"])
     for entry in cluster.entries:
-        status = cluster.ask(entry)
+        status = cluster.fetch(entry)
         assert status is not None
         assert status["index"] >= accepted["index"]
     assert change(cluster, "stopped-2", base + 1) == accepted
@@ -208,7 +208,7 @@
         entry.signal(signal.SIGKILL)
         entry.wait()
         entry.restart()
-        cluster.wait_for("the entry", lambda: cluster.ask(entry))
+        cluster.wait_for("the entry", lambda: cluster.fetch(entry))
         answer = POOL.request(
             "GET", f"http://{entry.address}/call/catalogo/shelf"
         )
@@ -220,7 +220,7 @@
     wait_in_force(cluster, index)
     cluster.wait_for(
         "the entry's tree",
-        lambda: (cluster.ask(entry) or {}).get("index", 0) >= index,
+        lambda: (cluster.fetch(entry) or {}).get("index", 0) >= index,
     )
 
 
@@ -323,13 +323,13 @@
     resource.prlimit(leader.pid, resource.RLIMIT_FSIZE, (limit, unlimited))
     sent = 0
     try:
-        status = cluster.ask(leader) or {}
+        status = cluster.fetch(leader) or {}
         while status.get("state") != "storage-failed":
             assert sent < 200
             answer = change(cluster, f"full-{sent}", base + sent)
             assert answer["outcome"] == "accepted"
             sent += 1
-            status = cluster.ask(leader) or {}
+            status = cluster.fetch(leader) or {}
         # From the same answer: the replica continues in a new segment, so
         # that another query might no longer report the problem.
         assert "File too large" in status["problem"]
@@ -341,11 +341,11 @@
     assert revision(cluster) == base + sent + 1
 
     def has_all_changes() -> bool:
-        found = cluster.ask(leader, "/tree") or {"revisions": {}}
+        found = cluster.fetch(leader, "/tree") or {"revisions": {}}
         return bool(found["revisions"].get("lending") == base + sent + 1)
 
     cluster.wait_for("the replica to catch up", has_all_changes)
-    assert (cluster.ask(leader) or {})["problem"] is None
+    assert (cluster.fetch(leader) or {})["problem"] is None
 
 
 def test_forbidden_change_is_on_the_audit_trail(tmp_path: Path) -> None:
@@ -373,7 +373,7 @@
             "POST", f"http://{process.address}/changes", body=b"{}"
         )
         assert wrong.status == 401
-        (record,) = cluster.ask(process, "/audit") or []
+        (record,) = cluster.fetch(process, "/audit") or []
         assert record["outcome"] == "forbidden"
         assert record["change_id"] == "no"
         assert record["to_revisions"] == {"lending": 0}
@@ -429,7 +429,7 @@
 
 def evacuated(cluster: Cluster, process: Process) -> Any:
     """List the evacuated zones that a replica reports, None if silent."""
-    found = cluster.ask(process, "/evacuations")
+    found = cluster.fetch(process, "/evacuations")
     if found is None:
         return None
     return [one["availability_zone"] for one in found]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -12,8 +12,8 @@
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
 from nutmegchute_fakes.clusters import Process
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 from nutmegchute_fakes.upstreams import CRASH_PATH
 from platform_standins import Endpoint
 from platform_standins import HOST
@@ -169,7 +169,9 @@
         """Start and configure everything."""
         self.cluster.start(3, ROUTERS, entries_keep_s=1.0)
         controls = [one.address for one in self.cluster.controls]
-        declare(self.folder, declaration(2000), controls, OPERATOR_KEY)
+        apply_declaration(
+            self.folder, build_declaration(2000), controls, OPERATOR_KEY
+        )
         for number in range(ENDPOINTS):
             record = self.folder / f"ran-{number}"
             self.cluster.add_upstream("prestamos", record=record)
@@ -195,13 +197,13 @@
         return sorted(found)
 
     def _knows_all(self, entry: Process) -> bool:
-        status = self.cluster.ask(entry)
+        status = self.cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == ENDPOINTS
 
     def _run(self) -> None:
         while not self._stopped.wait(RESTART_S):
             for upstream in self.cluster.upstreams:
-                if not upstream.running:
+                if not upstream.is_running:
                     upstream.restart()
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -11,8 +11,8 @@
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
 from nutmegchute_fakes.clusters import Process
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 
 ZONES = ["miraflores", "san-isidro", "surco"]
 SLOW_MS = 400
@@ -34,7 +34,9 @@
     try:
         one.start(controls=3, entries=3, entries_keep_s=KEEP_S)
         controls = [process.address for process in one.controls]
-        declare(folder, declaration(3000), controls, OPERATOR_KEY)
+        apply_declaration(
+            folder, build_declaration(3000), controls, OPERATOR_KEY
+        )
         for number in (1, 2):
             one.add_upstream(
                 "prestamos",
@@ -52,13 +54,13 @@
 
 def lists_upstreams(cluster: Cluster, entry: Process, count: int) -> bool:
     """Return whether an entry lists this number of upstreams."""
-    status = cluster.ask(entry)
+    status = cluster.fetch(entry)
     return status is not None and len(status["upstreams"]) == count
 
 
 def is_draining(cluster: Cluster, entry: Process, upstream: Process) -> bool:
     """Return whether an entry lists an upstream as draining."""
-    status = cluster.ask(entry) or {"upstreams": []}
+    status = cluster.fetch(entry) or {"upstreams": []}
     for one in status["upstreams"]:
         if one["endpoint"] == upstream.address:
             return bool(one["state"] == "draining")
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 import pytest
-from nutmegchute_fakes.proofs import judge
-from nutmegchute_fakes.proofs import Outcomes
+from nutmegchute_fakes.proofs import check_points
+from nutmegchute_fakes.proofs import OutcomeCollector
 from nutmegchute_fakes.proofs import POINTS
 from nutmegchute_fakes.proofs import read_points
 
@@ -25,9 +25,9 @@
 """
 
 
-def outcomes(*reports: tuple[str, str]) -> Outcomes:
+def outcomes(*reports: tuple[str, str]) -> OutcomeCollector:
     """Build outcomes as pytest reports them."""
-    found = Outcomes()
+    found = OutcomeCollector()
     for node, outcome in reports:
         report: Any = SimpleNamespace(nodeid=node, outcome=outcome)
         found.pytest_runtest_logreport(report)
@@ -70,9 +70,11 @@
 ) -> None:
     """Count no point whose tests failed, were skipped or did not run."""
     points = {1: ["t::a", "t::b"]}
-    assert judge(points, outcomes(*reports)) == ([1] if holds else [])
+    assert check_points(points, outcomes(*reports)) == ([1] if holds else [])
 
 
 def test_a_point_without_a_test_does_not_hold() -> None:
     """Count no promise without a proof."""
-    assert judge(dict.fromkeys(range(1, POINTS + 1), []), outcomes()) == []
+    assert (
+        check_points(dict.fromkeys(range(1, POINTS + 1), []), outcomes()) == []
+    )
--- a/tests/test_senders.py
+++ b/tests/test_senders.py
@@ -98,7 +98,9 @@
     packed the book. The caller gets the answer without the header, which
     only an entry may send to it.
     """
-    client = EndpointClient(start(faulty_upstreams.lie_about_not_run).address)
+    client = EndpointClient(
+        start(faulty_upstreams.answer_marked_not_run).address
+    )
     assert client.send() == ANSWERED
     assert client.body() == b"lent"
     names = [name for name, _ in client.reply.headers()]
@@ -110,9 +112,9 @@
     [
         faulty_upstreams.reset_at_once,
         faulty_upstreams.reset_after_head,
-        faulty_upstreams.half_a_body,
-        faulty_upstreams.early_hint,
-        faulty_upstreams.contradict_lengths,
+        faulty_upstreams.truncate_body,
+        faulty_upstreams.send_early_hint,
+        faulty_upstreams.send_conflicting_lengths,
     ],
 )
 def test_broken_answer_is_lost(start: Start, behaviour: Behaviour) -> None:
@@ -130,9 +132,9 @@
     ("behaviour", "loss"),
     [
         (faulty_upstreams.reset_at_once, CLOSED),
-        (faulty_upstreams.half_a_body, CLOSED),
-        (faulty_upstreams.early_hint, MALFORMED),
-        (faulty_upstreams.stay_silent, TIMED_OUT),
+        (faulty_upstreams.truncate_body, CLOSED),
+        (faulty_upstreams.send_early_hint, MALFORMED),
+        (faulty_upstreams.never_answer, TIMED_OUT),
     ],
 )
 def test_reason_of_a_lost_attempt(
@@ -159,7 +161,7 @@
 
 @pytest.mark.parametrize(
     "behaviour",
-    [faulty_upstreams.half_a_long_body, faulty_upstreams.half_the_chunks],
+    [faulty_upstreams.truncate_long_body, faulty_upstreams.truncate_chunks],
 )
 def test_break_of_a_long_answer_is_an_error(
     start: Start, behaviour: Behaviour
@@ -176,9 +178,9 @@
 
 def test_silent_upstream_is_lost_at_the_deadline(start: Start) -> None:
     """Report "lost" at the deadline, as the request may have run."""
-    upstream = start(faulty_upstreams.stay_silent)
+    upstream = start(faulty_upstreams.never_answer)
     assert EndpointClient(upstream.address).send(remaining_s=SHORT_S) == LOST
-    assert upstream.closed.wait(LONG_S)
+    assert upstream.peer_closed.wait(LONG_S)
 
 
 def test_late_answer_is_never_delivered(start: Start) -> None:
@@ -203,7 +205,7 @@
     If it were reused, the next caller would get the second answer, with
     another patron's loans.
     """
-    upstream = start(faulty_upstreams.two_answers)
+    upstream = start(faulty_upstreams.answer_twice)
     client = EndpointClient(upstream.address)
     for number in range(5):
         assert client.send(f"/own-{number}") == ANSWERED
@@ -218,8 +220,8 @@
     for _ in range(3):
         assert client.send() == ANSWERED
         assert client.body() == b"once"
-        assert upstream.left.wait(LONG_S)
-        upstream.left.clear()
+        assert upstream.connection_ended.wait(LONG_S)
+        upstream.connection_ended.clear()
     assert len(upstream.requests) == upstream.connections == 3
 
 
@@ -229,7 +231,7 @@
     The upstream may have read the loan, so the HTTP library must not resend
     it on its own.
     """
-    upstream = start(faulty_upstreams.close_as_written)
+    upstream = start(faulty_upstreams.reset_second_request)
     client = EndpointClient(upstream.address)
     assert client.send() == ANSWERED
     assert client.body() == b"once"
@@ -239,7 +241,10 @@
 
 def test_idle_connection_is_reused(start: Start) -> None:
     """Reuse a connection after complete answers, chunked ones too."""
-    for behaviour in (faulty_upstreams.answer, faulty_upstreams.chunks):
+    for behaviour in (
+        faulty_upstreams.answer,
+        faulty_upstreams.answer_chunked,
+    ):
         upstream = start(behaviour)
         client = EndpointClient(upstream.address)
         for _ in range(3):
@@ -250,7 +255,7 @@
 
 def test_cancelled_attempt_closes_its_connection(start: Start) -> None:
     """End a cancelled attempt at once and close its connection."""
-    upstream = start(faulty_upstreams.stay_silent)
+    upstream = start(faulty_upstreams.never_answer)
     client = EndpointClient(upstream.address)
     outcomes: list[str] = []
     thread = threading.Thread(target=lambda: outcomes.append(client.send()))
@@ -260,7 +265,7 @@
     client.exchange.end()
     thread.join(LONG_S)
     assert outcomes == [CANCELLED]
-    assert upstream.closed.wait(LONG_S)
+    assert upstream.peer_closed.wait(LONG_S)
 
 
 def test_late_end_does_not_affect_other_calls(start: Start) -> None:
@@ -282,7 +287,9 @@
 
     Its end cannot be told from a broken connection.
     """
-    client = EndpointClient(start(faulty_upstreams.unframed).address)
+    client = EndpointClient(
+        start(faulty_upstreams.answer_without_length).address
+    )
     assert client.send() == ANSWERED
     assert not client.reply.is_framed
     assert client.body() == b"until the end"
@@ -290,6 +297,6 @@
 
 def test_folded_header_stays_one_header(start: Start) -> None:
     """Join a folded header; its second line would become a header."""
-    client = EndpointClient(start(faulty_upstreams.split_header).address)
+    client = EndpointClient(start(faulty_upstreams.fold_header).address)
     assert client.send() == ANSWERED
     assert ("X-Note", "a Set-Cookie: b") in client.reply.headers()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,8 +17,8 @@
 from nutmegchute_fakes.clusters import Cluster
 from nutmegchute_fakes.clusters import OPERATOR_KEY
 from nutmegchute_fakes.clusters import Process
-from nutmegchute_fakes.demo import declaration
-from nutmegchute_fakes.demo import declare
+from nutmegchute_fakes.demo import apply_declaration
+from nutmegchute_fakes.demo import build_declaration
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
 from urllib3.exceptions import HTTPError
 from urllib3.exceptions import NewConnectionError
@@ -38,8 +38,8 @@
     def one(entries: int = 1, **extra: Any) -> Cluster:
         cluster.start(1, entries, entries_keep_s=KEEP_S, **extra)
         controls = [process.address for process in cluster.controls]
-        document = declaration(DEADLINE_MS)
-        declare(tmp_path, document, controls, OPERATOR_KEY)
+        document = build_declaration(DEADLINE_MS)
+        apply_declaration(tmp_path, document, controls, OPERATOR_KEY)
         return cluster
 
     yield one
@@ -62,7 +62,7 @@
 
 def add_hanging_upstream(cluster: Cluster) -> FaultyUpstream:
     """Announce an upstream that accepts calls and never answers."""
-    upstream = FaultyUpstream(faulty_upstreams.stay_silent)
+    upstream = FaultyUpstream(faulty_upstreams.never_answer)
     entry = cluster.entries[0]
     announcement = {
         "service": "catalogo",
@@ -104,12 +104,12 @@
         caller = FakeCaller(seeds)
         outcomes = set()
         count = 0
-        while entry.running or count < 10:
+        while entry.is_running or count < 10:
             count += 1
             name = f"caller-{number}-{count}"
-            shot = caller.shoot(name, "catalogo", "GET", "/shelf")
-            outcomes.add(shot.outcome)
-            if shot.entry == entry.address:
+            result = caller.call(name, "catalogo", "GET", "/shelf")
+            outcomes.add(result.outcome)
+            if result.entry == entry.address:
                 entry_used.set()
         return outcomes
 
@@ -133,7 +133,7 @@
     entry.signal(signal.SIGTERM)
     cluster.wait_for(
         "the drain",
-        lambda: (cluster.ask(entry) or {})["entry"]["draining"],
+        lambda: (cluster.fetch(entry) or {})["entry"]["draining"],
     )
     fresh = urllib3.PoolManager(retries=False, timeout=20.0)
     assert call(fresh, entry) == ANSWERED
@@ -159,7 +159,7 @@
         if by == "second signal":
             cluster.wait_for(
                 "the drain",
-                lambda: (cluster.ask(entry) or {})["entry"]["draining"],
+                lambda: (cluster.fetch(entry) or {})["entry"]["draining"],
             )
             entry.signal(signal.SIGTERM)
         assert hanging.result() == "unknown"
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -9,11 +9,11 @@
 from nutmegchute_core.routes import LARGE_BUFFER_BYTES
 from nutmegchute_fakes import faulty_upstreams
 from nutmegchute_fakes.edges import BODY_BYTES
-from nutmegchute_fakes.edges import drain
 from nutmegchute_fakes.edges import Edge
+from nutmegchute_fakes.edges import read_to_end
 from nutmegchute_fakes.faulty_upstreams import Behaviour
-from nutmegchute_fakes.faulty_upstreams import Exchange
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
+from nutmegchute_fakes.faulty_upstreams import UpstreamConnection
 
 PHOTOS = bytes(range(256)) * 1000
 NOT_RUN = b"Nutmegchute-Outcome: not-run"
@@ -27,17 +27,17 @@
 POLL_S = 0.05
 
 
-def shed_early(exchange: Exchange) -> None:
+def shed_early(connection: UpstreamConnection) -> None:
     """Shed after the head, and read the body to its end."""
-    exchange.read_head()
-    exchange.write(SHED)
-    exchange.wait_for_close()
+    connection.read_head()
+    connection.write(SHED)
+    connection.wait_for_close()
 
 
-def shed_and_close(exchange: Exchange) -> None:
+def shed_and_close(connection: UpstreamConnection) -> None:
     """Shed after the head, and close without reading the body."""
-    exchange.read_head()
-    exchange.write(SHED)
+    connection.read_head()
+    connection.write(SHED)
 
 
 class EdgeHarness:
@@ -46,7 +46,7 @@
     def __init__(self, kept: int, behaviours: tuple[Behaviour, ...]) -> None:
         self.upstreams = [FaultyUpstream(one) for one in behaviours]
         self.edge = Edge([one.address for one in self.upstreams])
-        self.edge.take_bodies(BODY_BYTES, kept)
+        self.edge.limit_bodies(BODY_BYTES, kept)
 
     def upload(self, body: bytes = PHOTOS) -> bytes:
         """Send a body and return the answer."""
@@ -131,7 +131,7 @@
         threading.Event().wait(POLL_S)
         assert harness.upstreams[0].connections == 0
         caller.sendall(PHOTOS[half:])
-        assert drain(caller).startswith(b"HTTP/1.1 200")
+        assert read_to_end(caller).startswith(b"HTTP/1.1 200")
     assert harness.bodies() == [PHOTOS]
 
 
@@ -160,7 +160,7 @@
     )
     request = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks
     for _ in range(6):
-        answer = harness.edge.say(request + b"0\r\n\r\n")
+        answer = harness.edge.send_raw(request + b"0\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 200"), answer[:200]
     assert set(harness.bodies()) == {PHOTOS}
 
