--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -25,7 +25,7 @@
 from docopt import docopt
 from nutmegchute_core.routes import LARGE_BUFFER_BYTES
 from nutmegchute_fakes import faulty_upstreams
-from nutmegchute_fakes.edges import Edge
+from nutmegchute_fakes.call_servers import CallServer
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
 
 MIB = 1024 * 1024
@@ -37,15 +37,15 @@
 
 def serve(upstream: str, body_bytes: int, pipe: Connection) -> None:
     """Run an entry until told to stop; tell its address and memory."""
-    edge = Edge(
+    server = CallServer(
         [upstream], threads=THREADS, slots=SLOTS, deadline_ms=DEADLINE_MS
     )
-    edge.limit_bodies(body_bytes, LARGE_BUFFER_BYTES)
-    pipe.send(edge.address)
+    server.limit_bodies(body_bytes, LARGE_BUFFER_BYTES)
+    pipe.send(server.address)
     while pipe.recv() != "stop":
         usage = resource.getrusage(resource.RUSAGE_SELF)
         pipe.send(usage.ru_maxrss / 1024)
-    edge.stop()
+    server.stop()
 
 
 def upload(address: str, size: int, outcomes: Counter[str]) -> None:
--- a/packages/fakes/nutmegchute_fakes/edges.py
+++ b/packages/fakes/nutmegchute_fakes/call_servers.py
@@ -28,7 +28,7 @@
 BODY_BYTES = 1048576
 
 
-class Edge:
+class CallServer:
     """Serve one service's calls with the entry's own classes."""
 
     def __init__(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -13,10 +13,10 @@
 from nutmegchute_core.calls import Result
 from nutmegchute_core.calls import Send
 from nutmegchute_fakes import faulty_upstreams
-from nutmegchute_fakes.edges import BODY_BYTES
-from nutmegchute_fakes.edges import Edge
-from nutmegchute_fakes.edges import read_to_end
-from nutmegchute_fakes.edges import RESET
+from nutmegchute_fakes.call_servers import BODY_BYTES
+from nutmegchute_fakes.call_servers import CallServer
+from nutmegchute_fakes.call_servers import read_to_end
+from nutmegchute_fakes.call_servers import RESET
 from nutmegchute_fakes.faulty_upstreams import Behaviour
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
 
@@ -27,12 +27,14 @@
 NEXT = b"GET /call/catalogo/next HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class EdgeHarness:
-    """Run the callers' edge of an entry with upstreams behind it."""
+class CallServerHarness:
+    """Run an entry's call server in front of upstreams."""
 
     def __init__(self, *behaviours: Behaviour, **values: Any) -> None:
         self.upstreams = [FaultyUpstream(one) for one in behaviours]
-        self.edge = Edge([one.address for one in self.upstreams], **values)
+        self.server = CallServer(
+            [one.address for one in self.upstreams], **values
+        )
 
     @property
     def ran(self) -> int:
@@ -48,27 +50,27 @@
         raise AssertionError("condition did not hold in time")
 
     def stop(self) -> None:
-        """Stop the edge and the upstreams."""
+        """Stop the server and the upstreams."""
         for one in self.upstreams:
             one.stop()
-        self.edge.stop()
+        self.server.stop()
 
 
 @pytest.fixture(scope="module")
-def answering() -> Iterator[EdgeHarness]:
-    """Run an edge in front of one upstream that answers normally."""
-    harness = EdgeHarness(faulty_upstreams.answer)
+def answering() -> Iterator[CallServerHarness]:
+    """Run a call server in front of one upstream that answers normally."""
+    harness = CallServerHarness(faulty_upstreams.answer)
     yield harness
     harness.stop()
 
 
 @pytest.fixture
 def build() -> Iterator[Any]:
-    """Build edges with upstreams and stop them at the end."""
-    built: list[EdgeHarness] = []
+    """Yield a builder of call servers and stop them at the end."""
+    built: list[CallServerHarness] = []
 
-    def one(*behaviours: Behaviour, **values: Any) -> EdgeHarness:
-        built.append(EdgeHarness(*behaviours, **values))
+    def one(*behaviours: Behaviour, **values: Any) -> CallServerHarness:
+        built.append(CallServerHarness(*behaviours, **values))
         return built[-1]
 
     yield one
@@ -121,7 +123,9 @@
 
 
 @pytest.mark.parametrize("name", sorted(BAD_REQUESTS))
-def test_bad_request_is_refused(answering: EdgeHarness, name: str) -> None:
+def test_bad_request_is_refused(
+    answering: CallServerHarness, name: str
+) -> None:
     """Refuse what two servers could parse differently; nothing runs.
 
     The refusal says "not run" and closes the connection: what follows on it
@@ -129,17 +133,17 @@
     would allow request smuggling.
     """
     before = answering.ran
-    answer = answering.edge.send_raw(BAD_REQUESTS[name] + NEXT)
+    answer = answering.server.send_raw(BAD_REQUESTS[name] + NEXT)
     assert answer.startswith(b"HTTP/1.1 4") or b" 501 " in answer[:20]
     assert NOT_RUN in answer
     assert answer.count(b"HTTP/1.1 ") == 1
     assert answering.ran == before
 
 
-def test_incomplete_body_is_never_sent(answering: EdgeHarness) -> None:
+def test_incomplete_body_is_never_sent(answering: CallServerHarness) -> None:
     """Run no part of a loan whose caller disconnects in mid body."""
     before = answering.ran
-    with answering.edge.connect() as sock:
+    with answering.server.connect() as sock:
         sock.sendall(HEAD + b"Content-Length: 100\r\n\r\nhalf")
         sock.shutdown(socket.SHUT_WR)
         assert NOT_RUN in read_to_end(sock)
@@ -147,11 +151,11 @@
 
 
 def test_chunked_body_over_the_limit_is_refused(
-    answering: EdgeHarness,
+    answering: CallServerHarness,
 ) -> None:
     """Apply the size limit to a body without a length as it arrives."""
     chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
-    with answering.edge.connect() as sock:
+    with answering.server.connect() as sock:
         sock.settimeout(WAIT_S)
         sock.sendall(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         try:
@@ -165,24 +169,24 @@
     assert UNKNOWN in answer or RESET in answer
 
 
-def test_unknown_service_is_refused(answering: EdgeHarness) -> None:
+def test_unknown_service_is_refused(answering: CallServerHarness) -> None:
     """Report the reason and that nothing ran."""
-    answer = answering.edge.send_raw(
+    answer = answering.server.send_raw(
         b"GET /call/nowhere/a HTTP/1.1\r\nConnection: close\r\n\r\n"
     )
     assert NOT_RUN in answer
     assert b"unknown service" in answer
 
 
-def test_target_is_forwarded_unchanged(answering: EdgeHarness) -> None:
+def test_target_is_forwarded_unchanged(answering: CallServerHarness) -> None:
     """Forward escaped characters unchanged; decoded, they change the path."""
     target = "/a%2Fb%3Fc/../d//e?q=%20&r=/x"
-    answer = answering.edge.call(target)
+    answer = answering.server.call(target)
     assert answer.endswith(b"\r\n\r\n" + target.encode())
 
 
 def test_only_hop_by_hop_headers_are_dropped(
-    answering: EdgeHarness,
+    answering: CallServerHarness,
 ) -> None:
     """Forward repeated headers; drop those that Connection lists.
 
@@ -193,7 +197,7 @@
         "X-Twice: 1\r\nX-Twice: 2\r\nX_Token: a\r\nX-Token: b\r\n"
         "Connection: X-Hop\r\nX-Hop: gone\r\nKeep-Alive: 5\r\nTE: gzip\r\n"
     )
-    answering.edge.call("/headers", more=more)
+    answering.server.call("/headers", more=more)
     sent = answering.upstreams[0].requests[-1]
     for line in (b"X-Twice: 1", b"X-Twice: 2", b"X_Token: a", b"X-Token: b"):
         assert line in sent
@@ -204,7 +208,7 @@
 
 @pytest.mark.parametrize("mark", [1, 3])
 def test_attempt_number_is_forwarded(
-    answering: EdgeHarness, mark: int
+    answering: CallServerHarness, mark: int
 ) -> None:
     """Forward the attempt number of a call that another layer has retried.
 
@@ -212,20 +216,22 @@
     failing service into 65,536.
     """
     line = f"Nutmegchute-Attempt: {mark}\r\n"
-    answering.edge.call("/deep", more=line)
+    answering.server.call("/deep", more=line)
     assert line.encode() in answering.upstreams[0].requests[-1]
 
 
-def test_answer_to_head_has_no_body(answering: EdgeHarness) -> None:
+def test_answer_to_head_has_no_body(answering: CallServerHarness) -> None:
     """Send no body in the answer to a HEAD request."""
-    answer = answering.edge.call("/x", method="HEAD")
+    answer = answering.server.call("/x", method="HEAD")
     assert b" 200 " in answer
     assert answer.endswith(b"\r\n\r\n")
 
 
-def test_connection_serves_successive_calls(answering: EdgeHarness) -> None:
+def test_connection_serves_successive_calls(
+    answering: CallServerHarness,
+) -> None:
     """Answer successive requests on one connection in order."""
-    with answering.edge.connect() as sock:
+    with answering.server.connect() as sock:
         for number in range(3):
             sock.sendall(NEXT.replace(b"next", b"n%d" % number))
             answer = b""
@@ -233,9 +239,11 @@
                 answer += sock.recv(65536)
 
 
-def test_trailers_are_not_read_as_a_request(answering: EdgeHarness) -> None:
+def test_trailers_are_not_read_as_a_request(
+    answering: CallServerHarness,
+) -> None:
     """Skip the trailers of a chunked body before the next request."""
-    answer = answering.edge.send_raw(
+    answer = answering.server.send_raw(
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"
         b"0\r\nX-Sum: 1\r\n\r\n"
         + NEXT.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
@@ -245,18 +253,18 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, 65535, 65536, 65537, 1000000])
-def test_body_arrives_whole(answering: EdgeHarness, size: int) -> None:
+def test_body_arrives_whole(answering: CallServerHarness, size: int) -> None:
     """Forward bodies unchanged, short ones buffered and long ones streamed."""
     body = bytes(number % 251 for number in range(size))
-    assert b" 200 " in answering.edge.call("/b", "POST", body)[:20]
+    assert b" 200 " in answering.server.call("/b", "POST", body)[:20]
     sent = answering.upstreams[0].requests[-1]
     assert sent.partition(b"\r\n\r\n")[2] == body
 
 
-def test_long_chunked_body_arrives_whole(answering: EdgeHarness) -> None:
+def test_long_chunked_body_arrives_whole(answering: CallServerHarness) -> None:
     """Stream a body of unknown length in chunks."""
     chunks = b"".join(b"4000\r\n" + b"~" * 16384 + b"\r\n" for _ in range(8))
-    answer = answering.edge.send_raw(
+    answer = answering.server.send_raw(
         HEAD
         + b"Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
         + chunks
@@ -269,7 +277,7 @@
 def test_broken_answer_is_broken_for_the_caller(build: Any) -> None:
     """Pass on a broken answer as broken, not as a complete catalogue."""
     harness = build(faulty_upstreams.truncate_long_body)
-    answer = harness.edge.call("/long")
+    answer = harness.server.call("/long")
     assert b"Content-Length: 400000" in answer
     assert len(answer) < 400000
 
@@ -281,7 +289,7 @@
     would make half a catalogue look complete.
     """
     harness = build(faulty_upstreams.truncate_chunks)
-    answer = harness.edge.send_raw(HEAD + b"\r\n")
+    answer = harness.server.send_raw(HEAD + b"\r\n")
     assert b"5\r\nhalf!\r\n" in answer
     assert b"\r\n0\r\n" not in answer
 
@@ -291,7 +299,7 @@
     harness = build(
         faulty_upstreams.reset_after_head, faulty_upstreams.reset_after_head
     )
-    assert UNKNOWN in harness.edge.call("/loan", "POST", b"atlas")
+    assert UNKNOWN in harness.server.call("/loan", "POST", b"atlas")
     assert harness.ran == 1
 
 
@@ -299,14 +307,14 @@
     """Retry an idempotent call at another upstream if its answer breaks."""
     harness = build(faulty_upstreams.truncate_body, faulty_upstreams.answer)
     for _ in range(6):
-        assert harness.edge.call("/shelf").endswith(b"/shelf")
+        assert harness.server.call("/shelf").endswith(b"/shelf")
 
 
 def test_shed_loan_runs_elsewhere(build: Any) -> None:
     """Retry a loan that an upstream shed before running it."""
     harness = build(faulty_upstreams.shed, faulty_upstreams.answer)
     for _ in range(4):
-        assert harness.edge.call("/loan", "POST", b"x").endswith(b"/loan")
+        assert harness.server.call("/loan", "POST", b"x").endswith(b"/loan")
 
 
 @pytest.mark.parametrize(
@@ -317,13 +325,13 @@
 ) -> None:
     """Limit the total wait, since each byte restarts a read's time-out."""
     harness = build(behaviour, deadline_ms=300)
-    assert UNKNOWN in harness.edge.call("/loan", "POST", b"x")
+    assert UNKNOWN in harness.server.call("/loan", "POST", b"x")
 
 
 def test_deadline_ends_a_trickled_body(build: Any) -> None:
     """Break off an answer whose head is in time but whose body is not."""
     harness = build(faulty_upstreams.trickle_body, deadline_ms=300)
-    answer = harness.edge.call("/long")
+    answer = harness.server.call("/long")
     assert b"Content-Length: 400000" in answer
     assert len(answer) < 10000
 
@@ -337,12 +345,12 @@
     whose connection stays open, would go on working.
     """
     harness = build(faulty_upstreams.never_answer, deadline_ms=60000)
-    with harness.edge.connect() as sock:
+    with harness.server.connect() as sock:
         sock.sendall(HEAD + b"\r\n")
         harness.wait_until(lambda: harness.ran == 1)
     assert harness.upstreams[0].peer_closed.wait(WAIT_S)
-    harness.wait_until(lambda: harness.edge.count_in_flight() == 0)
-    harness.wait_until(lambda: harness.edge.handler.active == 0)
+    harness.wait_until(lambda: harness.server.count_in_flight() == 0)
+    harness.wait_until(lambda: harness.server.handler.active == 0)
 
 
 def test_full_entry_refuses_at_once(build: Any) -> None:
@@ -352,11 +360,11 @@
     announcements behind it would be late.
     """
     harness = build(faulty_upstreams.answer_late, threads=4, deadline_ms=60000)
-    held = [harness.edge.connect() for _ in range(3)]
+    held = [harness.server.connect() for _ in range(3)]
     for sock in held:
         sock.sendall(HEAD + b"Connection: close\r\n\r\n")
-    harness.wait_until(lambda: harness.edge.handler.active == 3)
-    answer = harness.edge.call("/more")
+    harness.wait_until(lambda: harness.server.handler.active == 3)
+    answer = harness.server.call("/more")
     assert NOT_RUN in answer
     assert b"Retry-After: 1" in answer
     harness.upstreams[0].release.set()
@@ -374,7 +382,7 @@
         connection.write(faulty_upstreams.build_answer(b"z" * 8_000_000))
 
     harness = build(long_answer, deadline_ms=300)
-    with harness.edge.connect() as sock:
+    with harness.server.connect() as sock:
         sock.sendall(HEAD + b"Connection: close\r\n\r\n")
         threading.Event().wait(1.0)
         assert read_to_end(sock).count(b"z") == 8_000_000
@@ -424,7 +432,7 @@
     behaviours[slow] = faulty_upstreams.never_answer
     harness = build(*behaviours)
     endpoints = [one.address for one in harness.upstreams]
-    harness.edge.use_balancer(HedgingBalancer(endpoints))
-    assert harness.edge.call("/shelf").endswith(b"/shelf")
+    harness.server.use_balancer(HedgingBalancer(endpoints))
+    assert harness.server.call("/shelf").endswith(b"/shelf")
     assert harness.upstreams[slow].peer_closed.wait(WAIT_S)
-    harness.wait_until(lambda: harness.edge.handler.active == 0)
+    harness.wait_until(lambda: harness.server.handler.active == 0)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -8,9 +8,9 @@
 from nutmegchute_core.routes import BUFFER_BYTES
 from nutmegchute_core.routes import LARGE_BUFFER_BYTES
 from nutmegchute_fakes import faulty_upstreams
-from nutmegchute_fakes.edges import BODY_BYTES
-from nutmegchute_fakes.edges import Edge
-from nutmegchute_fakes.edges import read_to_end
+from nutmegchute_fakes.call_servers import BODY_BYTES
+from nutmegchute_fakes.call_servers import CallServer
+from nutmegchute_fakes.call_servers import read_to_end
 from nutmegchute_fakes.faulty_upstreams import Behaviour
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
 from nutmegchute_fakes.faulty_upstreams import UpstreamConnection
@@ -40,17 +40,17 @@
     connection.write(SHED)
 
 
-class EdgeHarness:
-    """Run the callers' edge of an entry with upstreams behind it."""
+class CallServerHarness:
+    """Run an entry's call server in front of upstreams."""
 
     def __init__(self, kept: int, behaviours: tuple[Behaviour, ...]) -> None:
         self.upstreams = [FaultyUpstream(one) for one in behaviours]
-        self.edge = Edge([one.address for one in self.upstreams])
-        self.edge.limit_bodies(BODY_BYTES, kept)
+        self.server = CallServer([one.address for one in self.upstreams])
+        self.server.limit_bodies(BODY_BYTES, kept)
 
     def upload(self, body: bytes = PHOTOS) -> bytes:
         """Send a body and return the answer."""
-        return self.edge.call("/a", "POST", body)
+        return self.server.call("/a", "POST", body)
 
     def bodies(self) -> list[bytes]:
         """Return the bodies that reached an upstream complete."""
@@ -60,21 +60,21 @@
         return [request.partition(b"\r\n\r\n")[2] for request in requests]
 
     def stop(self) -> None:
-        """Stop the edge and the upstreams."""
+        """Stop the server and the upstreams."""
         for one in self.upstreams:
             one.stop()
-        self.edge.stop()
+        self.server.stop()
 
 
 @pytest.fixture
 def build() -> Iterator[Any]:
-    """Build edges with upstreams and stop them at the end."""
-    built: list[EdgeHarness] = []
+    """Yield a builder of call servers and stop them at the end."""
+    built: list[CallServerHarness] = []
 
     def one(
         *behaviours: Behaviour, kept: int = LARGE_BUFFER_BYTES
-    ) -> EdgeHarness:
-        built.append(EdgeHarness(kept, behaviours))
+    ) -> CallServerHarness:
+        built.append(CallServerHarness(kept, behaviours))
         return built[-1]
 
     yield one
@@ -125,7 +125,7 @@
     """
     harness = build(faulty_upstreams.answer)
     half = len(PHOTOS) // 2
-    with harness.edge.connect() as caller:
+    with harness.server.connect() as caller:
         head = HEAD + b"Content-Length: %d\r\n\r\n" % len(PHOTOS)
         caller.sendall(head + PHOTOS[:half])
         threading.Event().wait(POLL_S)
@@ -143,10 +143,10 @@
     for a complete request, even if it was sent the beginning.
     """
     harness = build(faulty_upstreams.answer, kept=kept)
-    with harness.edge.connect() as caller:
+    with harness.server.connect() as caller:
         head = HEAD + b"Content-Length: %d\r\n\r\n" % len(PHOTOS)
         caller.sendall(head + PHOTOS[: len(PHOTOS) * 2 // 3])
-    _wait_until(lambda: harness.edge.handler.active == 0)
+    _wait_until(lambda: harness.server.handler.active == 0)
     assert harness.bodies() == []
     assert harness.upload().startswith(b"HTTP/1.1 200")
 
@@ -160,7 +160,7 @@
     )
     request = HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks
     for _ in range(6):
-        answer = harness.edge.send_raw(request + b"0\r\n\r\n")
+        answer = harness.server.send_raw(request + b"0\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 200"), answer[:200]
     assert set(harness.bodies()) == {PHOTOS}
 
