--- a/packages/fakes/nutmegchute_fakes/call_servers.py
+++ b/packages/fakes/nutmegchute_fakes/call_servers.py
@@ -1,4 +1,4 @@
-"""Run the callers' edge of an entry in this process, without control."""
+"""Serve callers as an entry does, in this process, without control."""
 
 import asyncio
 import socket
@@ -29,7 +29,7 @@
 
 
 class CallServer:
-    """Serve one service's calls with the entry's own classes."""
+    """Serve the calls of one service with the classes of an entry."""
 
     def __init__(
         self,
@@ -55,66 +55,70 @@
             body_bytes=BODY_BYTES,
             threads=threads,
         )
-        document = _declare(slots, deadline_ms, hedge)
-        live = [
+        document = _build_document(slots, deadline_ms, hedge)
+        announcements = [
             Announcement(SERVICE, endpoint, ZONE, slots, 1)
             for endpoint in endpoints
         ]
-        self._runner.run_sync(self._build, document, live)
+        self._runner.run_sync(self._build, document, announcements)
         self._http.add_handler(CALL_PATH, self.handler)
         self._http.start()
 
-    def limit_bodies(self, most: int, kept: int) -> None:
-        """Take bodies of so many bytes, and keep so much of each."""
-        self._http.limit_body(most)
-        self.handler.body_bytes = most
-        self.handler.buffer_limit = lambda host, path: kept
+    def limit_bodies(self, max_body_bytes: int, buffer_bytes: int) -> None:
+        """Set the maximum size of a body and how much of it is buffered."""
+        self._http.limit_body(max_body_bytes)
+        self.handler.body_bytes = max_body_bytes
+        self.handler.buffer_limit = lambda host, path: buffer_bytes
 
     def count_in_flight(self) -> int:
-        """Count the calls without an outcome."""
+        """Return the number of calls without an outcome."""
         return int(self._runner.run_sync(lambda: self._balancer.in_flight))
 
     def use_balancer(self, balancer: Any) -> None:
-        """Let another balancer decide from now on."""
+        """Replace the balancer; later calls use the new one."""
         self._runner.run_sync(self._build_dispatcher, balancer)
 
     def connect(self) -> socket.socket:
-        """Open a caller's connection."""
+        """Open a connection as a caller."""
         host, _, port = self.address.rpartition(":")
         return socket.create_connection((host, int(port)), timeout=10.0)
 
     def send_raw(self, data: bytes) -> bytes:
-        """Send bytes on a connection of their own; return all that comes."""
+        """Send bytes on a new connection; return all bytes received."""
         with self.connect() as sock:
             sock.sendall(data)
             return read_to_end(sock)
 
     def call(
-        self, path: str, method: str = "GET", body: bytes = b"", more: str = ""
+        self,
+        path: str,
+        method: str = "GET",
+        body: bytes = b"",
+        header_lines: str = "",
     ) -> bytes:
-        """Call the service; return the answer's bytes."""
+        """Call the service; return the bytes of the answer."""
         head = (
             f"{method} /call/{SERVICE}{path} HTTP/1.1\r\nHost: x\r\n"
-            f"Connection: close\r\n{more}"
+            f"Connection: close\r\n{header_lines}"
         )
         if body:
             head += f"Content-Length: {len(body)}\r\n"
         return self.send_raw(head.encode() + b"\r\n" + body)
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop the server, the dispatcher and the event loop."""
         self._http.stop()
         self.dispatcher.stop()
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
-    def _build(self, document: Any, live: list[Announcement]) -> None:
+    def _build(self, document: Any, announcements: list[Announcement]) -> None:
         balancer = Balancer(SEED)
         now = self._loop.time()
         balancer.configure(read_services(document), now)
         self._build_dispatcher(balancer)
-        self.dispatcher.perform(balancer.update_upstreams(live, now))
+        self.dispatcher.perform(balancer.update_upstreams(announcements, now))
         self._sweep()
 
     def _build_dispatcher(self, balancer: Balancer) -> None:
@@ -124,11 +128,11 @@
             metrics=Metrics("127.0.0.1:9", "entry-1"),
             hedge=self.handler.hedge,
             query_load=lambda probe: None,
-            settle=self._settle,
+            settle=self._record_outcome,
         )
-        self.handler.dispatcher = _CallTaker(self.dispatcher)
+        self.handler.dispatcher = _CallAdmitter(self.dispatcher)
 
-    def _settle(self, pending: PendingCall, outcome: str) -> None:
+    def _record_outcome(self, pending: PendingCall, outcome: str) -> None:
         self.outcomes.append(outcome)
 
     def _sweep(self) -> None:
@@ -137,8 +141,8 @@
         self._loop.call_later(SWEEP_S, self._sweep)
 
 
-class _CallTaker:
-    """Admit every call; an entry asks its ledger first."""
+class _CallAdmitter:
+    """Admit every call at once; an entry checks its ledger first."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self._dispatcher = dispatcher
@@ -150,11 +154,11 @@
         self._dispatcher.admit(pending, pending.arrival.deadline_s)
 
     def end_instance(self, instance: str, address: str) -> None:
-        """Take word that an instance has left; here none have names."""
+        """Ignore that an instance has left: no instance here has a name."""
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """Return all bytes until the end, or until a reset."""
+    """Return all bytes up to the end; RESET follows them after a reset."""
     data = b""
     try:
         while piece := sock.recv(65536):
@@ -167,7 +171,9 @@
 RESET = b"<reset>"
 
 
-def _declare(slots: int, deadline_ms: int, hedge: bool) -> dict[str, Any]:
+def _build_document(
+    slots: int, deadline_ms: int, hedge: bool
+) -> dict[str, Any]:
     rules = [
         {
             "name": "loan",
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -193,11 +193,11 @@
     ``X_Token`` and ``X-Token`` are two headers: mistaken for one, a caller
     could override the other.
     """
-    more = (
+    lines = (
         "X-Twice: 1\r\nX-Twice: 2\r\nX_Token: a\r\nX-Token: b\r\n"
         "Connection: X-Hop\r\nX-Hop: gone\r\nKeep-Alive: 5\r\nTE: gzip\r\n"
     )
-    answering.server.call("/headers", more=more)
+    answering.server.call("/headers", header_lines=lines)
     sent = answering.upstreams[0].requests[-1]
     for line in (b"X-Twice: 1", b"X-Twice: 2", b"X_Token: a", b"X-Token: b"):
         assert line in sent
@@ -216,7 +216,7 @@
     failing service into 65,536.
     """
     line = f"Nutmegchute-Attempt: {mark}\r\n"
-    answering.server.call("/deep", more=line)
+    answering.server.call("/deep", header_lines=line)
     assert line.encode() in answering.upstreams[0].requests[-1]
 
 
