--- a/packages/core/nutmegchute_core/calls.py
+++ b/packages/core/nutmegchute_core/calls.py
@@ -275,7 +275,7 @@
 
     @property
     def attempts(self) -> dict[int, str]:
-        """Map each attempt's number to the endpoint it went to."""
+        """Return the endpoint of each attempt, by attempt number."""
         return self._attempts
 
     def step(self, event: str) -> None:
--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -164,7 +164,7 @@
         return self._version != before
 
     def live(self) -> list[Announcement]:
-        """List the endpoints, with the newest process of each address."""
+        """Return the endpoints, with the newest process of each address."""
         found: dict[Key, Announcement] = {}
         for announcement in self._announcements():
             process = announcement.process
--- a/packages/core/nutmegchute_core/charts.py
+++ b/packages/core/nutmegchute_core/charts.py
@@ -20,17 +20,17 @@
 
     @property
     def name(self) -> str:
-        """Name of the chart."""
+        """Return the name of the chart."""
         return self._name
 
     @property
     def initial(self) -> str:
-        """State in which every object starts."""
+        """Return the state in which every object starts."""
         return self._initial
 
     @property
     def states(self) -> dict[str, dict[str, str]]:
-        """Transitions of each state: next state by event."""
+        """Return the transitions of each state: next state by event."""
         return self._states
 
     def step(self, state: str, event: str) -> str:
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -198,7 +198,7 @@
     def _eligible(
         self, avoid: list[str], allow_trial: bool, now: float
     ) -> list[Endpoint]:
-        """List candidates for a call; unreachable ones only if all are."""
+        """Return candidates for a call; unreachable ones only if all are."""
         up: list[Endpoint] = []
         down: list[Endpoint] = []
         ignore_ejection = self._too_many_ejected()
@@ -362,7 +362,7 @@
     def endpoints_to_query(
         self, avoid: list[str], local_only: bool, now: float
     ) -> list[Endpoint]:
-        """List the endpoint to query before a send; none if a slot is known.
+        """Return the endpoint to query next; none if a slot is known.
 
         ``local_only`` leaves out other availability zones. Endpoints that do
         not report their stretch are not queried: their health path may wait
--- a/packages/core/nutmegchute_core/directories.py
+++ b/packages/core/nutmegchute_core/directories.py
@@ -104,7 +104,7 @@
 
     @property
     def own(self) -> EntryInfo:
-        """The description of this entry."""
+        """Return the description of this entry."""
         return self._self
 
     def demand(self, now: float) -> dict[str, float]:
--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -135,7 +135,7 @@
         return self._group
 
     def unreachable(self, request: WatchRequest, now: float) -> list[str]:
-        """List the replicas in an entry's watermarks that do not respond."""
+        """Return the replicas in an entry's watermarks that do not respond."""
         responsive = {self._own, *self.peers.responsive_replicas(now)}
         return [one for one in request.watermarks if one not in responsive]
 
@@ -193,13 +193,13 @@
         self._awaited_generation = max(self._awaited_generation, generation)
 
     def unconfirmed(self, generation: int, now: float) -> list[str]:
-        """List the entries and peers that have not confirmed a generation."""
+        """Return entries and peers that have not confirmed a generation."""
         watermark = (self.registry.epoch, generation)
         entries = self.sessions.unconfirmed(self._own, watermark, now)
         return [*entries, *self.peers.unconfirmed(generation, now)]
 
     def pending_confirmations(self, now: float) -> dict[str, Confirmation]:
-        """Map the peers that await a confirmation to the one now due."""
+        """Return the confirmations that are due, by peer address."""
         found = {}
         for address in self.peers.addresses:
             peer = self.peers.find(address)
--- a/packages/core/nutmegchute_core/errors.py
+++ b/packages/core/nutmegchute_core/errors.py
@@ -17,12 +17,12 @@
 
     @property
     def path(self) -> str:
-        """Path from the root of the document to the invalid value."""
+        """Return the path from the document's root to the invalid value."""
         return self._path
 
     @property
     def reason(self) -> str:
-        """What is wrong with the value, or what is allowed."""
+        """Return what is wrong with the value, or what is allowed."""
         return self._reason
 
 
@@ -41,7 +41,7 @@
 
     @property
     def leader(self) -> str | None:
-        """Identity of the leader, if known."""
+        """Return the identity of the leader, if known."""
         return self._leader
 
 
--- a/packages/core/nutmegchute_core/evacuations.py
+++ b/packages/core/nutmegchute_core/evacuations.py
@@ -71,17 +71,17 @@
 
     @property
     def index(self) -> int:
-        """The log index of the last change of the list."""
+        """Return the log index of the last change of the list."""
         return self._index
 
     @property
     def evacuations(self) -> list[Evacuation]:
-        """The evacuations in force, in the order of their orders."""
+        """Return the evacuations in force, the earliest order first."""
         return list(self._by_zone.values())
 
     @property
     def zones(self) -> list[str]:
-        """The names of the evacuated availability zones."""
+        """Return the names of the evacuated availability zones."""
         return list(self._by_zone)
 
     def apply(self, index: int, order: EvacuationOrder) -> EvacuationOutcome:
--- a/packages/core/nutmegchute_core/incoming_snapshots.py
+++ b/packages/core/nutmegchute_core/incoming_snapshots.py
@@ -20,7 +20,7 @@
 
     @property
     def received(self) -> int:
-        """Number of bytes received."""
+        """Return the number of bytes received."""
         return len(self._data)
 
     def matches(self, request: InstallRequest) -> bool:
--- a/packages/core/nutmegchute_core/leaderships.py
+++ b/packages/core/nutmegchute_core/leaderships.py
@@ -44,12 +44,12 @@
 
     @property
     def next_round(self) -> int:
-        """Number of the next round of messages."""
+        """Return the number of the next round of messages."""
         return self._round + 1
 
     @property
     def confirmed_round(self) -> int:
-        """Last round of messages that a quorum acknowledged."""
+        """Return the last round of messages that a quorum acknowledged."""
         return self._confirmed_round
 
     def last_contact_at(self, identity: str) -> float | None:
--- a/packages/core/nutmegchute_core/logs.py
+++ b/packages/core/nutmegchute_core/logs.py
@@ -44,32 +44,32 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """Last snapshot."""
+        """Return the last snapshot."""
         return self._snapshot
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Return the index of the last entry."""
         return self._base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Return the term of the last entry."""
         return self._entries[-1].term if self._entries else self._base_term
 
     @property
     def size_bytes(self) -> int:
-        """Encoded size of the entries in memory, in bytes."""
+        """Return the encoded size of the entries in memory, in bytes."""
         return self._bytes
 
     @property
     def membership(self) -> Membership:
-        """Newest membership, committed or not."""
+        """Return the newest membership, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """Index of the newest membership."""
+        """Return the index of the newest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -46,7 +46,7 @@
 
     @property
     def progress(self) -> EntryProgress:
-        """The progress of the entries, as known to this leader."""
+        """Return the progress of the entries, as known to this leader."""
         return self._progress
 
     def enqueue(
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -68,32 +68,32 @@
 
     @property
     def tree(self) -> Tree:
-        """Configuration tree."""
+        """Return the configuration tree."""
         return self._tree
 
     @property
     def entries(self) -> set[str]:
-        """Names of the enrolled entries, which may act on the tree."""
+        """Return the enrolled entries, which may act on the tree."""
         return self._entries
 
     @property
     def ledger(self) -> Ledger:
-        """Ledger of claims on idempotency keys."""
+        """Return the ledger of claims on idempotency keys."""
         return self._ledger
 
     @property
     def quarantine(self) -> Quarantine:
-        """Fingerprints of requests that may crash endpoints."""
+        """Return the cases of requests that may crash endpoints."""
         return self._quarantine
 
     @property
     def evacuations(self) -> Evacuations:
-        """Availability zones that are evacuated."""
+        """Return the evacuated availability zones."""
         return self._evacuations
 
     @property
     def applied(self) -> int:
-        """Index of the last entry applied."""
+        """Return the index of the last entry applied."""
         return self._applied
 
     def apply(self, entry: LogEntry) -> Outcome:
--- a/packages/core/nutmegchute_core/members.py
+++ b/packages/core/nutmegchute_core/members.py
@@ -134,7 +134,7 @@
         return self._digest
 
     def __len__(self) -> int:
-        """Count the endpoints."""
+        """Return the number of endpoints."""
         return len(self._leases)
 
     def get(self, key: Key) -> Announcement | None:
@@ -143,7 +143,7 @@
         return known[0] if known is not None else None
 
     def announcements(self) -> list[Announcement]:
-        """List the newest announcement of each endpoint."""
+        """Return the newest announcement of each endpoint."""
         return [announcement for announcement, _ in self._leases.values()]
 
     def put(self, announcement: Announcement, now: float) -> bool:
@@ -165,7 +165,7 @@
         self._mark_changed(key)
 
     def expired(self, now: float) -> list[Key]:
-        """List the endpoints whose lease has expired."""
+        """Return the endpoints whose lease has expired."""
         return [
             key
             for key, (_, announced_at) in self._leases.items()
--- a/packages/core/nutmegchute_core/memberships.py
+++ b/packages/core/nutmegchute_core/memberships.py
@@ -29,17 +29,17 @@
 
     @property
     def voters(self) -> list[str]:
-        """Identities of the voters."""
+        """Return the identities of the voters."""
         return [one.identity for one in self.members if one.voter]
 
     @property
     def learners(self) -> list[str]:
-        """Identities of the learners."""
+        """Return the identities of the learners."""
         return [one.identity for one in self.members if not one.voter]
 
     @property
     def quorum(self) -> int:
-        """Size of a majority of the voters."""
+        """Return the size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
     def find(self, identity: str | None) -> Member | None:
--- a/packages/core/nutmegchute_core/nodes.py
+++ b/packages/core/nutmegchute_core/nodes.py
@@ -84,12 +84,12 @@
 
     @property
     def replica(self) -> Replica:
-        """Replica that this node runs."""
+        """Return the replica that this node runs."""
         return self._replica
 
     @property
     def machine(self) -> StateMachine:
-        """State machine with all entries applied so far."""
+        """Return the state machine with all entries applied so far."""
         return self._machine
 
     def propose(self, command: Command) -> tuple[int, int]:
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -226,7 +226,7 @@
                     del peer.entries[name]
 
     def unconfirmed(self, generation: int, now: float) -> list[str]:
-        """List the replicas that have not confirmed a generation."""
+        """Return the replicas that have not confirmed a generation."""
         found = []
         for address, peer in self._peers.items():
             if peer.received_generation < generation and not self._is_gone(
@@ -236,7 +236,7 @@
         return found
 
     def reachable_replicas(self, now: float) -> list[str]:
-        """List the replicas whose messages arrive, be it one way."""
+        """Return the replicas whose messages arrive, even if only one way."""
         found = []
         for address, peer in self._peers.items():
             if now - peer.last_message_at <= REACHABLE_S:
@@ -244,7 +244,7 @@
         return found
 
     def responsive_replicas(self, now: float) -> list[str]:
-        """List the replicas that reply to this one."""
+        """Return the replicas that reply to this one."""
         found = []
         for address, peer in self._peers.items():
             if _is_responsive(peer, now):
@@ -268,7 +268,7 @@
         return answered, counted
 
     def mirrors(self, now: float) -> dict[str, Mirror]:
-        """Map the replicas not silent for MIRROR_TTL_S to their mirrors."""
+        """Return the mirrors of replicas not silent for MIRROR_TTL_S."""
         found = {}
         for address, peer in self._peers.items():
             if now - peer.last_message_at <= MIRROR_TTL_S:
@@ -276,7 +276,7 @@
         return found
 
     def connected_entries(self, now: float) -> list[EntryInfo]:
-        """List the entries connected to responsive replicas."""
+        """Return the entries connected to responsive replicas."""
         found = []
         for peer in self._peers.values():
             if not _is_responsive(peer, now):
@@ -296,7 +296,7 @@
         return found
 
     def entry_zones(self, now: float) -> dict[str, str]:
-        """Map the entries seen within ENTRY_TTL_S to availability zones."""
+        """Return the zones of the entries seen within ENTRY_TTL_S."""
         found = {}
         for peer in self._peers.values():
             for name, known in peer.entries.items():
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -289,7 +289,7 @@
         return QuarantineUpdate(base, self._index, cases, ended)
 
     def case_statuses(self) -> list[CaseStatus]:
-        """List all cases for operators."""
+        """Return the statuses of all cases."""
         return [self._status(case) for case in self._cases.values()]
 
     def snapshot(self) -> QuarantineState:
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -90,11 +90,11 @@
         return self._generation
 
     def __len__(self) -> int:
-        """Count the registered processes."""
+        """Return the number of registered processes."""
         return len(self._records)
 
     def present(self, now: float) -> list[Announcement]:
-        """List the announcements of the registered processes."""
+        """Return the announcements of the registered processes."""
         return [_with_cold_s(record, now) for record in self._records.values()]
 
     def latest(self, instance: str) -> Process:
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -116,52 +116,52 @@
 
     @property
     def identity(self) -> str:
-        """Identity of this replica."""
+        """Return the identity of this replica."""
         return self._identity
 
     @property
     def state(self) -> str:
-        """Current state in the replica chart."""
+        """Return the current state in the replica chart."""
         return self._state
 
     @property
     def leader(self) -> str | None:
-        """Identity of this term's leader, if known."""
+        """Return the identity of this term's leader, if known."""
         return self._leader
 
     @property
     def term(self) -> int:
-        """Current term."""
+        """Return the current term."""
         return self._hard_state.term
 
     @property
     def commit_index(self) -> int:
-        """Highest log index known to be committed."""
+        """Return the highest log index known to be committed."""
         return self._commit_index
 
     @property
     def last_index(self) -> int:
-        """Index of the last log entry."""
+        """Return the index of the last log entry."""
         return self._log.last_index
 
     @property
     def log(self) -> Log:
-        """Log of this replica."""
+        """Return the log of this replica."""
         return self._log
 
     @property
     def membership(self) -> Membership:
-        """Newest membership in the log, committed or not."""
+        """Return the newest membership in the log, committed or not."""
         return self._log.membership
 
     @property
     def votes(self) -> set[str]:
-        """Identities that granted a vote in the latest campaign."""
+        """Return the identities that granted a vote in the latest campaign."""
         return set(self._votes)
 
     @property
     def is_ready(self) -> bool:
-        """Whether this leader has committed an entry of its own term.
+        """Return whether this leader committed an entry of its own term.
 
         Only then does it know every entry committed in earlier terms.
         """
@@ -172,12 +172,12 @@
 
     @property
     def confirmed_round(self) -> int:
-        """Last round of messages that a quorum acknowledged."""
+        """Return the last round of messages that a quorum acknowledged."""
         return self._leadership.confirmed_round if self._leadership else 0
 
     @property
     def wake_at(self) -> float:
-        """Time of the next heartbeat or election timeout."""
+        """Return the time of the next heartbeat or election timeout."""
         if self._state == LEADER:
             return self._heartbeat_at
         return self._election_at
@@ -278,7 +278,7 @@
 
     @property
     def is_dispensable(self) -> bool:
-        """Whether the group can do without this replica's vote."""
+        """Return whether the group can do without this replica's vote."""
         membership = self.membership
         if self._identity not in membership.voters:
             return False
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -91,7 +91,7 @@
         """Renew an endpoint's lease.
 
         Return RENEWED, CHANGED, STALE (a newer incarnation is known), FULL
-        or PAUSED (announce again in QUIET_S).
+        or PAUSED (announce again in ANNOUNCE_RETRY_S).
         """
         self._detect_pause(now)
         if now < self._paused_until:
@@ -182,7 +182,7 @@
         return valid_at
 
     def live(self, now: float) -> list[Announcement]:
-        """List the live endpoints in any set, by service and address."""
+        """Return the live endpoints in any set, by service and address."""
         found: dict[Key, Announcement] = {}
         for announcement in self._own.announcements():
             found[announcement.key] = announcement
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -135,7 +135,7 @@
 
 
 def _parts(document: dict[str, Any]) -> list[tuple[str, float]]:
-    """List services, each with the end of its part of [0, 1]."""
+    """Return the services, each with the end of its part of [0, 1]."""
     if "split" not in document:
         return [(document["service"], 1.0)]
     total = sum(part["weight"] for part in document["split"])
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -215,7 +215,7 @@
         return self._generation != before
 
     def since(self, generation: int) -> list[EntryState]:
-        """List the entries whose session changed since a generation."""
+        """Return the entries whose session changed since a generation."""
         found = []
         for session in self._sessions.values():
             if session.changed > generation:
@@ -225,7 +225,7 @@
     def unconfirmed(
         self, replica: str, watermark: Watermark, now: float
     ) -> list[str]:
-        """List the connected entries that lack a generation of a registry."""
+        """Return connected entries that lack a generation of a registry."""
         found = []
         for name, session in self._sessions.items():
             if session.is_connected(now) and not session.has_received(
@@ -235,7 +235,7 @@
         return found
 
     def applied(self, now: float) -> dict[str, int]:
-        """Map the connected entries to the index of the tree each applies."""
+        """Return the index of the tree that each connected entry applies."""
         found = {}
         for name, session in self._sessions.items():
             if session.is_connected(now):
@@ -251,7 +251,7 @@
         return found
 
     def zones(self, now: float) -> dict[str, str]:
-        """Map the entries seen within ENTRY_TTL_S to availability zones."""
+        """Return the zones of the entries seen within ENTRY_TTL_S."""
         found = {}
         for name, session in self._sessions.items():
             if now - session.requested_at <= ENTRY_TTL_S:
@@ -271,7 +271,7 @@
         return any(one.is_connected(now) for one in self._sessions.values())
 
     def connected_entries(self, now: float) -> list[EntryInfo]:
-        """List the connected entries."""
+        """Return the connected entries."""
         found = []
         for session in self._sessions.values():
             if session.is_connected(now):
--- a/packages/core/nutmegchute_core/trees.py
+++ b/packages/core/nutmegchute_core/trees.py
@@ -50,7 +50,7 @@
 
     @property
     def teams(self) -> list[str]:
-        """The teams whose branches change, sorted."""
+        """Return the teams whose branches change, sorted."""
         return sorted({*self.documents, *self.patches})
 
 
@@ -126,24 +126,24 @@
 
     @property
     def index(self) -> int:
-        """The log index of the last accepted change."""
+        """Return the log index of the last accepted change."""
         return self._index
 
     @property
     def audit(self) -> list[AuditRecord]:
-        """The last AUDIT_KEPT records of the audit trail, oldest first."""
+        """Return the last AUDIT_KEPT audit records, oldest first."""
         return list(self._audit)
 
     @property
     def revisions(self) -> dict[str, int]:
-        """The revision of each team's branch."""
+        """Return the revision of each team's branch."""
         return {
             team: branch.revision for team, branch in self._branches.items()
         }
 
     @property
     def documents(self) -> dict[str, Any]:
-        """The document of each team."""
+        """Return the document of each team."""
         found = {}
         for team, branch in self._branches.items():
             if branch.document is None:
--- a/packages/core/nutmegchute_core/trials.py
+++ b/packages/core/nutmegchute_core/trials.py
@@ -23,7 +23,7 @@
 
     @property
     def keys(self) -> list[Key]:
-        """List the requests that have held calls."""
+        """Return the requests that have held calls."""
         return list(self._held)
 
     def holds(self, call: Call) -> bool:
--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -59,17 +59,17 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """Return the HTTP status."""
         return self._status
 
     @property
     def retry_after_s(self) -> float | None:
-        """The delay before a retry, in seconds; None if a retry is useless."""
+        """Return the seconds before a retry, None if a retry is useless."""
         return self._retry_after_s
 
     @property
     def fields(self) -> dict[str, Any]:
-        """Further fields of the answer, which the upstream may use."""
+        """Return further fields of the answer, which the upstream may use."""
         return self._fields
 
 
--- a/packages/daemon/nutmegchute_daemon/claims.py
+++ b/packages/daemon/nutmegchute_daemon/claims.py
@@ -45,7 +45,7 @@
 ) -> Claim:
     """Build the claim of one request.
 
-    :raises KeyFormError: the key is empty, too long or not plain ASCII
+    :raises InvalidKeyError: the key is empty, too long or not plain ASCII
     """
     is_plain = key.isascii() and key.isprintable()
     if not 0 < len(key) <= MAX_KEY_LENGTH or not is_plain:
@@ -131,7 +131,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no claim and no settlement is pending."""
+        """Return whether no claim and no settlement is pending."""
         return not self._pending and not self._settlements
 
     def claim(self, claim: Claim, wait_s: float, on_answer: OnAnswer) -> None:
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -42,7 +42,7 @@
 
     @property
     def applied(self) -> dict[str, int]:
-        """The index that each entry following this replica has in force."""
+        """Return the index in force at each entry following this replica."""
         return self._long_polls.progress.applied()
 
     async def handle_request(self, request: FollowRequest) -> FollowReply:
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -78,17 +78,17 @@
 
     @property
     def index(self) -> int:
-        """The log index of the tree in force on this entry."""
+        """Return the log index of the tree in force on this entry."""
         return self._tree.index
 
     @property
     def revisions(self) -> dict[str, int]:
-        """The revision of each team's branch in force on this entry."""
+        """Return the revision of each team's branch in force here."""
         return self._tree.revisions
 
     @property
     def has_lease(self) -> bool:
-        """Whether a leader confirmed the tree within the lease."""
+        """Return whether a leader confirmed the tree within the lease."""
         return self._lease.has_lease(_clock())
 
     def may_act(self) -> bool:
--- a/packages/daemon/nutmegchute_daemon/links.py
+++ b/packages/daemon/nutmegchute_daemon/links.py
@@ -56,17 +56,17 @@
 
     @property
     def path(self) -> str:
-        """The full name of the method on the wire."""
+        """Return the full name of the method on the wire."""
         return f"/nutmegchute.{self._service}/{self._name}"
 
     @property
     def service(self) -> str:
-        """The name of the gRPC service."""
+        """Return the name of the gRPC service."""
         return self._service
 
     @property
     def name(self) -> str:
-        """The name of the method within its service."""
+        """Return the name of the method within its service."""
         return self._name
 
     def decode_request(self, data: bytes) -> Any:
--- a/packages/daemon/nutmegchute_daemon/notifiers.py
+++ b/packages/daemon/nutmegchute_daemon/notifiers.py
@@ -40,7 +40,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether a wake-up is scheduled."""
+        """Return whether a wake-up is scheduled."""
         return self._timer is not None
 
     def notify(self, gap_s: float) -> None:
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -19,17 +19,17 @@
 
     @property
     def index(self) -> int:
-        """The log index of the last change that was applied."""
+        """Return the log index of the last change that was applied."""
         return self._index
 
     @property
     def documents(self) -> dict[str, Any]:
-        """The document of each team."""
+        """Return the document of each team."""
         return self._documents
 
     @property
     def revisions(self) -> dict[str, int]:
-        """The revision of each team's branch."""
+        """Return the revision of each team's branch."""
         return self._revisions
 
     def apply_reply(self, reply: FollowReply) -> bool:
--- a/packages/fakes/nutmegchute_fakes/disks.py
+++ b/packages/fakes/nutmegchute_fakes/disks.py
@@ -50,7 +50,7 @@
 
     @property
     def path(self) -> str:
-        """Name of the folder, for error messages."""
+        """Return the name of the folder, for error messages."""
         return "fake"
 
     def names(self) -> list[str]:
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -122,7 +122,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether the replica considers itself the leader."""
+        """Return whether the replica considers itself the leader."""
         return self.node is not None and self.node.replica.state == LEADER
 
     def start(self) -> None:
