--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -46,8 +46,8 @@
         "_ended",
         "_latest_incarnations",
         "_next_sequence",
-        "_sequence",
         "_orphans",
+        "_sequence",
         "_sources",
         "_version",
     )
--- a/packages/core/nutmegchute_core/follow_protocol.py
+++ b/packages/core/nutmegchute_core/follow_protocol.py
@@ -80,7 +80,7 @@
     from the start of the term.
     """
 
-    __slots__ = ("_applied", "_started_at", "_requested_at")
+    __slots__ = ("_applied", "_requested_at", "_started_at")
 
     def __init__(self, now: float) -> None:
         self._started_at = now
@@ -137,7 +137,7 @@
     stopping every entry would turn that into an outage.
     """
 
-    __slots__ = ("_lease_until", "_other_entries", "_leaderless")
+    __slots__ = ("_leaderless", "_lease_until", "_other_entries")
 
     def __init__(self, other_entries: int) -> None:
         self._other_entries = other_entries
--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -24,7 +24,7 @@
     the leader as well.
     """
 
-    __slots__ = ("hold_until", "request", "read_round")
+    __slots__ = ("hold_until", "read_round", "request")
 
     def __init__(
         self, request: FollowRequest, read_round: int | None, hold_until: float
@@ -37,7 +37,7 @@
 class LongPolls:
     """Hold requests by id until their replies are due."""
 
-    __slots__ = ("_progress", "_polls", "_term")
+    __slots__ = ("_polls", "_progress", "_term")
 
     def __init__(self) -> None:
         self._progress = EntryProgress(0.0)
--- a/packages/core/nutmegchute_core/members.py
+++ b/packages/core/nutmegchute_core/members.py
@@ -105,9 +105,9 @@
         "_changes",
         "_digest",
         "_epoch",
-        "_pruned_to",
         "_generation",
         "_leases",
+        "_pruned_to",
     )
 
     def __init__(self, epoch: int) -> None:
@@ -200,15 +200,15 @@
     """Hold the set that another entry gossips and its validity."""
 
     __slots__ = (
-        "valid_at",
-        "digest",
         "acknowledged",
         "acknowledged_epoch",
+        "announcements_by_key",
+        "digest",
         "epoch",
         "generation",
-        "announcements_by_key",
-        "sent_at",
         "received",
+        "sent_at",
+        "valid_at",
     )
 
     def __init__(self) -> None:
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -94,15 +94,15 @@
     """Hold the state of one other replica."""
 
     __slots__ = (
-        "last_answer_at",
         "applied",
-        "calls_per_s",
         "awaited_generation",
+        "calls_per_s",
         "confirmed_generation",
         "entries",
+        "last_answer_at",
         "last_message_at",
-        "reachable",
         "mirror",
+        "reachable",
         "received_generation",
         "sessions",
     )
--- a/packages/core/nutmegchute_core/progress.py
+++ b/packages/core/nutmegchute_core/progress.py
@@ -5,10 +5,10 @@
     """Hold the replication state of one other member."""
 
     __slots__ = (
-        "last_contact_at",
+        "acked_index",
         "install_offset",
+        "last_contact_at",
         "leaving_until",
-        "acked_index",
         "next_index",
         "round",
     )
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -223,10 +223,10 @@
     __slots__ = (
         "_cases",
         "_ended",
-        "_oldest_base",
         "_index",
         "_max_quarantined",
         "_max_suspects",
+        "_oldest_base",
         "_time_s",
     )
 
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -41,7 +41,7 @@
 class Record:
     """Hold the newest announcement of a process and its arrival."""
 
-    __slots__ = ("announcement", "cold_until", "announced_at", "sequence")
+    __slots__ = ("announced_at", "announcement", "cold_until", "sequence")
 
     def __init__(self, announcement: Announcement) -> None:
         self.announcement = announcement
--- a/packages/core/nutmegchute_core/replica_choosers.py
+++ b/packages/core/nutmegchute_core/replica_choosers.py
@@ -24,8 +24,8 @@
     """
 
     __slots__ = (
-        "_avoided_until",
         "_active",
+        "_avoided_until",
         "_known",
         "_name",
         "_own",
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -42,7 +42,7 @@
 class Floor:
     """Hold the lowest incarnation that an address may announce."""
 
-    __slots__ = ("drained", "updated_at", "incarnation")
+    __slots__ = ("drained", "incarnation", "updated_at")
 
     def __init__(
         self, incarnation: int, drained: bool, updated_at: float
@@ -59,13 +59,13 @@
     """
 
     __slots__ = (
+        "_checked_at",
         "_drains",
         "_floors",
-        "_sequence",
         "_own",
-        "_peers",
         "_paused_until",
-        "_checked_at",
+        "_peers",
+        "_sequence",
     )
 
     def __init__(self, epoch: int) -> None:
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -23,8 +23,8 @@
     """Map requests for a host and path prefix to services and a rule."""
 
     __slots__ = (
-        "_host",
         "_buffer_bytes",
+        "_host",
         "_name",
         "_parts",
         "_path_prefix",
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -111,11 +111,11 @@
         "changed",
         "closed",
         "due_at",
-        "requested_at",
         "held",
         "index",
-        "watermarks",
         "info",
+        "requested_at",
+        "watermarks",
     )
 
     def __init__(self, info: EntryInfo) -> None:
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -31,7 +31,7 @@
 class LocalCase:
     """Hold crashes that this entry saw and control has not reported."""
 
-    __slots__ = ("last_crash_at", "crashes", "has_trial")
+    __slots__ = ("crashes", "has_trial", "last_crash_at")
 
     def __init__(self, now: float) -> None:
         self.last_crash_at = now
@@ -60,8 +60,8 @@
         "_index",
         "_local_cases",
         "_quarantined",
-        "_reports",
         "_reported_cases",
+        "_reports",
     )
 
     def __init__(self) -> None:
--- a/packages/daemon/nutmegchute_daemon/claims.py
+++ b/packages/daemon/nutmegchute_daemon/claims.py
@@ -104,13 +104,13 @@
     """
 
     __slots__ = (
-        "_unavailable_until",
         "_links",
         "_loop",
+        "_pending",
+        "_replica_position",
         "_settings",
         "_settlements",
-        "_replica_position",
-        "_pending",
+        "_unavailable_until",
         "_wake",
     )
 
--- a/packages/daemon/nutmegchute_daemon/follow_servers.py
+++ b/packages/daemon/nutmegchute_daemon/follow_servers.py
@@ -20,11 +20,11 @@
 
     __slots__ = (
         "_flush_soon",
+        "_futures",
+        "_last_id",
         "_long_polls",
         "_loop",
         "_node",
-        "_futures",
-        "_last_id",
     )
 
     def __init__(
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -36,19 +36,19 @@
 
     __slots__ = (
         "_entries",
-        "_reported_lapsed",
+        "_evacuations",
+        "_leader_address",
+        "_lease",
         "_links",
         "_on_tree",
+        "_quarantine",
         "_relay_address",
+        "_replica_position",
+        "_reported_lapsed",
         "_settings",
-        "_lease",
-        "_leader_address",
         "_tree",
-        "_replica_position",
         "on_evacuations",
         "on_quarantine",
-        "_evacuations",
-        "_quarantine",
     )
 
     def __init__(
--- a/packages/daemon/nutmegchute_daemon/notifiers.py
+++ b/packages/daemon/nutmegchute_daemon/notifiers.py
@@ -31,7 +31,7 @@
 class BatchNotifier:
     """Collect changes, then wake all waiting coroutines at once."""
 
-    __slots__ = ("_notifier", "_timer", "_notified_at")
+    __slots__ = ("_notified_at", "_notifier", "_timer")
 
     def __init__(self) -> None:
         self._notifier = Notifier()
--- a/packages/daemon/nutmegchute_daemon/proposals.py
+++ b/packages/daemon/nutmegchute_daemon/proposals.py
@@ -10,7 +10,7 @@
 class PendingProposals:
     """Resolve the futures of proposals by log index."""
 
-    __slots__ = ("_loop", "_futures")
+    __slots__ = ("_futures", "_loop")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
--- a/packages/fakes/nutmegchute_fakes/disks.py
+++ b/packages/fakes/nutmegchute_fakes/disks.py
@@ -11,7 +11,7 @@
 class FakeFile:
     """Hold a file's content and the part that survives a crash."""
 
-    __slots__ = ("durable", "content")
+    __slots__ = ("content", "durable")
 
     def __init__(self, durable: bytes = b"") -> None:
         self.durable = durable
