--- a/packages/cli/nutmegchute_cli/__init__.py
+++ b/packages/cli/nutmegchute_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Give operators the command line of nutmegchute."""
+"""Provide the command line of nutmegchute for operators."""
--- a/packages/cli/nutmegchute_cli/__main__.py
+++ b/packages/cli/nutmegchute_cli/__main__.py
@@ -25,36 +25,36 @@
   nutmegchute -h | --help
 
 Commands:
-  status     Tell which replica leads and whether all is in force.
-  entries    List the entries; with --entry, as that entry knows them.
+  status     Show which replica leads and whether all changes are in force.
+  entries    List the entries; with --entry, the entries it knows.
   upstreams  List the live endpoints that an entry knows (needs --entry).
   services   List the declared services and their rules.
   show       Print the configuration tree, or one team's branch.
-  audit      List who changed what, newest last.
-  plan       Print what apply would change, place by place.
+  audit      List changes and their operators, newest last.
+  plan       Print the differences that apply would make.
   apply      Send the declarations in FOLDER; safe to repeat.
   drain      Take the entry named by --entry out of service.
   replicas   List, add, remove or replace control replicas.
-  quarantine List requests that crash endpoints, or lift one's quarantine.
-  evacuations List what is evacuated, evacuate an availability zone, or
-             take it back.
+  quarantine List requests that crash endpoints, or lift a quarantine.
+  evacuations List the evacuated availability zones, evacuate one, or
+             end its evacuation.
   check      Check settings and declarations without starting anything.
-  explain    Tell from logs what became of a request, and why.
-  summarize  Tell from logs, span by span, what became of all requests.
+  explain    Show from logs how a request was handled, and why.
+  summarize  Print a summary of all requests in logs, per time window.
 
 Options:
-  --control=ADDRESSES  Control replicas' HTTP addresses, separated by
-                       commas; else the variable NUTMEGCHUTE_CONTROL.
-  --entry=ADDRESS      An entry's HTTP address; else the variable
+  --control=ADDRESSES  HTTP addresses of control replicas, separated by
+                       commas; default: variable NUTMEGCHUTE_CONTROL.
+  --entry=ADDRESS      HTTP address of an entry; default: variable
                        NUTMEGCHUTE_ENTRY.
-  --wait-s=S           Seconds to wait for the end [default: 12].
-  --limit=N            Audit records to list, 0 for all [default: 50].
-  --window-s=S         Seconds in a span of a summary [default: 2].
+  --wait-s=S           Seconds to wait for completion [default: 12].
+  --limit=N            Maximum audit records, 0 for all [default: 50].
+  --window-s=S         Seconds per time window [default: 2].
   --remove             Also remove branches that have no file in FOLDER.
   --json               Print JSON in place of a table.
   -h --help            Print this text.
 
-The operator's key is taken from the variable NUTMEGCHUTE_KEY.
+The operator's key is read from the variable NUTMEGCHUTE_KEY.
 
 Examples:
   nutmegchute check examples/red-andina/declarations
@@ -115,7 +115,7 @@
     try:
         arguments: dict[str, Any] = docopt(__doc__, argv)
     except DocoptExit as error:
-        # docopt alone would end with status 1, which here says "refused".
+        # docopt would exit with status 1, which here means "refused".
         print(error.usage.strip(), file=sys.stderr)
         print("see nutmegchute --help", file=sys.stderr)
         return EXIT_USAGE
@@ -125,14 +125,15 @@
         sys.stdout.flush()
         return status
     except BrokenPipeError:
-        # A listing cut short by head or less; Python would complain once
-        # more when it flushes the output at its end.
+        # The reader, such as head or less, has closed the pipe. Without the
+        # redirection, Python would print another error at exit, when it
+        # flushes the output.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_DONE
     except KeyboardInterrupt:
         print(
-            "nutmegchute: interrupted; what was sent may have been done: "
-            "run the same command again",
+            "nutmegchute: interrupted; the command may have taken effect: "
+            "run it again",
             file=sys.stderr,
         )
         return EXIT_UNKNOWN
@@ -145,7 +146,7 @@
     for name, function in COMMANDS.items():
         if arguments[name]:
             return function
-    raise AssertionError("the usage names a command that is not here")
+    raise AssertionError("the usage lists a command without a function")
 
 
 if __name__ == "__main__":
--- a/packages/cli/nutmegchute_cli/changes.py
+++ b/packages/cli/nutmegchute_cli/changes.py
@@ -24,50 +24,50 @@
 
 
 class Plan:
-    """Hold what a folder of declarations would change in a tree."""
+    """Compare a folder of declarations with a tree."""
 
-    __slots__ = ("_bases", "_changed", "_tree", "_unmentioned")
+    __slots__ = ("_bases", "_changed", "_tree", "_without_file")
 
     def __init__(
         self, tree: dict[str, Any], documents: dict[str, Any], remove: bool
     ) -> None:
         self._tree = tree
         present = tree["documents"]
-        self._unmentioned = sorted(set(present) - set(documents))
+        self._without_file = sorted(set(present) - set(documents))
         self._changed: dict[str, Any] = {}
         for team, document in documents.items():
             if present.get(team) != document:
                 self._changed[team] = document
         if remove:
-            self._changed.update(dict.fromkeys(self._unmentioned))
+            self._changed.update(dict.fromkeys(self._without_file))
         self._bases = {
             team: tree["revisions"].get(team, 0) for team in self._changed
         }
 
     @property
     def bases(self) -> dict[str, int]:
-        """Map each branch to change to the revision it has now."""
+        """Current revision of each branch to change."""
         return self._bases
 
     @property
     def changed(self) -> dict[str, Any]:
-        """Map each branch to change to its document, None to remove it."""
+        """New document of each branch to change, None to remove it."""
         return self._changed
 
     @property
-    def left_alone(self) -> list[str]:
-        """List the branches that have no file and stay as they are."""
-        return [one for one in self._unmentioned if one not in self._changed]
+    def kept(self) -> list[str]:
+        """Branches without a file that stay unchanged."""
+        return [one for one in self._without_file if one not in self._changed]
 
     def differences(self, team: str) -> list[Difference]:
-        """List the places that change in one branch."""
+        """Return the differences in one branch."""
         before = self._tree["documents"].get(team)
         after = self._changed[team]
         return compare(before or {}, after or {})
 
 
 def plan(options: Options) -> int:
-    """Print what apply would change."""
+    """Print the changes that apply would make."""
     _print_plan(_read_plan(options, options.control()), options.json)
     return EXIT_DONE
 
@@ -77,12 +77,12 @@
     client = options.control()
     planned = _read_plan(options, client)
     if not planned.changed:
-        # The same command after a lost answer ends here: its change is
-        # in the tree, and what is left to tell is whether it is in force.
+        # A command that is repeated after a lost answer ends here. Its
+        # change is in the tree already, but may not be in force yet.
         print("nothing to change: the tree holds these declarations")
         tree = client.get_from_leader("/tree")
         index = tree["index"] if tree is not None else 0
-        return _wait(client, index, options.wait_s)
+        return _wait_until_in_force(client, index, options.wait_s)
     _print_plan(planned, False)
     body = {
         "change_id": change_id(planned.bases, planned.changed, options.key),
@@ -91,9 +91,9 @@
     }
     answer = client.post("/changes", body, options.wait_s)
     if answer["outcome"] != ACCEPTED:
-        raise RefusedError(_explain(client, answer, planned.changed))
+        raise RefusedError(_explain_refusal(client, answer, planned.changed))
     print(f"accepted: {_revisions(answer['revisions'])}")
-    return _wait(client, answer["index"], options.wait_s)
+    return _wait_until_in_force(client, answer["index"], options.wait_s)
 
 
 def _read_plan(options: Options, client: ControlClient) -> Plan:
@@ -111,12 +111,12 @@
         print("nothing to change")
     for team in sorted(planned.changed):
         base = planned.bases[team]
-        gone = "" if planned.changed[team] is not None else " (removed)"
-        print(f"{team}: revision {base} -> {base + 1}{gone}")
+        suffix = "" if planned.changed[team] is not None else " (removed)"
+        print(f"{team}: revision {base} -> {base + 1}{suffix}")
         for difference in planned.differences(team):
             print(f"  {difference}")
-    for team in planned.left_alone:
-        print(f"{team}: no file here, left as it is (--remove removes it)")
+    for team in planned.kept:
+        print(f"{team}: no file here, unchanged (--remove removes it)")
 
 
 def _plan_document(planned: Plan) -> dict[str, Any]:
@@ -129,10 +129,12 @@
                 one.as_dict() for one in planned.differences(team)
             ],
         }
-    return {"changes": changes, "left_alone": planned.left_alone}
+    return {"changes": changes, "left_alone": planned.kept}
 
 
-def _wait(client: ControlClient, index: int, wait_s: float) -> int:
+def _wait_until_in_force(
+    client: ControlClient, index: int, wait_s: float
+) -> int:
     deadline = time.monotonic() + wait_s
     while True:
         status = client.get_from_leader("/status")
@@ -148,7 +150,7 @@
     )
 
 
-def _explain(
+def _explain_refusal(
     client: ControlClient, answer: dict[str, Any], teams: Iterable[str]
 ) -> str:
     text = f"{answer['outcome']}: {answer['detail']}"
@@ -157,15 +159,15 @@
     for record in reversed(client.get("/audit")):
         if record["outcome"] != ACCEPTED:
             continue
-        won = sorted(set(record["to_revisions"]) & set(teams))
-        if not won:
+        shared = sorted(set(record["to_revisions"]) & set(teams))
+        if not shared:
             continue
         return (
-            f"{text}; {record['operator']} changed {', '.join(won)} first "
-            f"(change {record['change_id']}); take that in, look at "
+            f"{text}; {record['operator']} changed {', '.join(shared)} first "
+            f"(change {record['change_id']}); merge that change, check "
             "nutmegchute plan, then apply again"
         )
-    return f"{text}; look at nutmegchute plan, then apply again"
+    return f"{text}; check nutmegchute plan, then apply again"
 
 
 def _revisions(revisions: dict[str, int]) -> str:
--- a/packages/cli/nutmegchute_cli/checks.py
+++ b/packages/cli/nutmegchute_cli/checks.py
@@ -23,7 +23,7 @@
 
 
 class Findings:
-    """Gather what is found about each file."""
+    """Collect the findings about each file."""
 
     __slots__ = ("_rows",)
 
@@ -32,33 +32,33 @@
 
     @property
     def rows(self) -> list[dict[str, Any]]:
-        """List the findings in order."""
+        """Findings in order, each a row of the output."""
         return self._rows
 
     @property
-    def wrong(self) -> bool:
-        """Tell whether anything must be mended."""
+    def has_errors(self) -> bool:
+        """Whether any file has an error."""
         return any(row["verdict"] == WRONG for row in self._rows)
 
     def add(self, path: object, verdict: str, detail: str | None) -> None:
-        """Note one finding."""
+        """Add one finding."""
         self._rows.append(
             {"file": str(path), "verdict": verdict, "detail": detail}
         )
 
 
 def check(options: Options) -> int:
-    """Check files and folders; what has a role is taken as settings."""
+    """Check files and folders; a document with a role holds settings."""
     findings = Findings()
     daemons: dict[Path, Settings] = {}
-    for argument in options.many("PATH"):
+    for argument in options.texts("PATH"):
         documents: dict[str, Any] = {}
         for path in _files(Path(argument)):
             _check_file(path, findings, daemons, documents)
         _check_branches(argument, documents, findings)
     _check_deployment(daemons, findings)
     print_rows(findings.rows, ["verdict", "file", "detail"], options.json)
-    return EXIT_USAGE if findings.wrong else EXIT_DONE
+    return EXIT_USAGE if findings.has_errors else EXIT_DONE
 
 
 def _files(path: Path) -> list[Path]:
@@ -123,27 +123,27 @@
 def _check_deployment(
     daemons: dict[Path, Settings], findings: Findings
 ) -> None:
-    """Find what no single file shows: daemons that contradict others."""
-    taken: dict[str, Path] = {}
+    """Find conflicts between the settings of several daemons."""
+    owners: dict[str, Path] = {}
     control: dict[str, list[str]] = {}
     for path, settings in daemons.items():
-        for what in (
+        for identifier in (
             f"name {settings.name}",
             f"address {settings.http_address}",
             f"address {settings.grpc_address}",
         ):
-            first = taken.setdefault(what, path)
+            first = owners.setdefault(identifier, path)
             if first != path:
-                findings.add(path, WRONG, f"{what}: {first} has it too")
+                findings.add(
+                    path, WRONG, f"{identifier}: also used in {first}"
+                )
         peers = sorted(
             f"{peer.name} {peer.grpc_address}" for peer in settings.control
         )
         control[str(path)] = peers
     first_path = next(iter(control), "")
     for other, peers in control.items():
-        # Replicas that count different majorities could each elect a
-        # leader, and two leaders could both accept a change.
+        # Replicas with different member lists count different majorities:
+        # they could elect two leaders, which could both accept a change.
         if peers != control[first_path]:
-            findings.add(
-                other, WRONG, f"control: differs from that of {first_path}"
-            )
+            findings.add(other, WRONG, f"control: differs from {first_path}")
--- a/packages/cli/nutmegchute_cli/clients.py
+++ b/packages/cli/nutmegchute_cli/clients.py
@@ -1,4 +1,4 @@
-"""Talk to the control replicas and to entries over HTTP."""
+"""Send requests to control replicas and entries over HTTP."""
 
 import time
 from typing import Any
@@ -13,23 +13,23 @@
 from .errors import UsageError
 
 TIMEOUT_S = 5.0
-TRY_AGAIN_S = 0.2
-REDIRECTS = 3
+RETRY_DELAY_S = 0.2
+MAX_REDIRECTS = 3
 OPERATOR_HEADER = "Nutmegchute-Operator"
 
 OK = 200
 REDIRECT = 307
-FINAL = frozenset({400, 401, 403, 404, 405, 409, 413, 422})
-NEXT_STEPS = {
+FINAL_STATUSES = frozenset({400, 401, 403, 404, 405, 409, 413, 422})
+HINTS = {
     401: "set the variable NUTMEGCHUTE_KEY to your operator's key",
-    403: "ask an operator whose settings name that branch",
-    404: "this control replica is older than the command",
+    403: "ask an operator whose settings include that branch",
+    404: "this control replica is too old for the command",
     409: "see nutmegchute replicas and status",
 }
 
 
 class ControlClient:
-    """Ask whichever control replica answers."""
+    """Send requests to a group of control replicas."""
 
     __slots__ = ("_addresses", "_headers", "_pool")
 
@@ -39,30 +39,30 @@
         self._pool = _pool()
 
     def get(self, path: str) -> Any:
-        """Ask the leader; where none leads, any replica that answers.
+        """Query the leader or, without one, any replica that answers.
 
-        :raises RefusedError: the replica refuses this operator
-        :raises UnreachableError: none answered
+        :raises RefusedError: the replica refused this operator
+        :raises UnreachableError: no replica answered
         """
         leader = self._leader()
-        order = [one for one in self._addresses if one != leader]
+        candidates = [one for one in self._addresses if one != leader]
         if leader is not None:
-            order.insert(0, leader)
-        for address in order:
+            candidates.insert(0, leader)
+        for address in candidates:
             answer = self._get(address, path)
             if answer is not None:
                 return answer
         raise self._unreachable()
 
     def get_from_leader(self, path: str) -> Any | None:
-        """Ask the replica that leads; None says that none does."""
+        """Query the leader; None if there is none or it does not answer."""
         leader = self._leader()
         return None if leader is None else self._get(leader, path)
 
     def statuses(self) -> dict[str, Any]:
-        """Map every address to its replica's status, None where silent.
+        """Return each address with its replica's status, None if unanswered.
 
-        :raises UnreachableError: none answered
+        :raises UnreachableError: no replica answered
         """
         found = {
             address: self._get(address, "/status")
@@ -73,9 +73,9 @@
         return found
 
     def post(self, path: str, body: Any, wait_s: float) -> Any:
-        """Send what is safe to send again until its outcome is known.
+        """Send an idempotent request until its outcome is known.
 
-        :raises RefusedError: control refused it
+        :raises RefusedError: control refused the request
         :raises OutcomeUnknownError: it may have been accepted
         :raises UnreachableError: it reached no replica
         """
@@ -87,18 +87,18 @@
                 try:
                     answer = self._post(f"http://{address}{path}", data)
                 except HTTPError as error:
-                    reached = reached or not _never_left(error)
+                    reached = reached or not _is_unsent(error)
                     continue
                 if answer.status == OK:
                     return msgspec.json.decode(answer.data)
-                if answer.status in FINAL:
+                if answer.status in FINAL_STATUSES:
                     raise RefusedError(_reason(answer))
-                # 503 says that nothing was proposed; any other status
-                # leaves it open whether the change is in the log.
+                # 503 means that nothing was proposed. After any other
+                # status the change may be in the log.
                 reached = reached or answer.status != 503
             if time.monotonic() >= deadline:
                 break
-            time.sleep(TRY_AGAIN_S)
+            time.sleep(RETRY_DELAY_S)
         if reached:
             raise OutcomeUnknownError(
                 "it may or may not have been accepted; run the same "
@@ -114,7 +114,7 @@
         return None
 
     def _post(self, url: str, data: bytes) -> urllib3.BaseHTTPResponse:
-        for _ in range(REDIRECTS):
+        for _ in range(MAX_REDIRECTS):
             answer = self._pool.request(
                 "POST", url, body=data, headers=self._headers, redirect=False
             )
@@ -135,7 +135,7 @@
 
 
 class EntryClient:
-    """Ask one entry."""
+    """Send requests to one entry."""
 
     __slots__ = ("_address", "_headers", "_pool")
 
@@ -146,31 +146,31 @@
 
     @property
     def address(self) -> str:
-        """Give the entry's HTTP address."""
+        """HTTP address of the entry."""
         return self._address
 
     def get(self, path: str) -> Any:
-        """Ask the entry.
+        """Query the entry.
 
-        :raises UnreachableError: it did not answer
+        :raises UnreachableError: the entry did not answer
         """
-        answer = self.find(path)
+        answer = self.get_or_none(path)
         if answer is None:
             raise UnreachableError(
                 f"entry {self._address} did not answer; check --entry, or "
-                "ask another entry"
+                "try another entry"
             )
         return answer
 
-    def find(self, path: str) -> Any | None:
-        """Ask the entry; None says that it did not answer."""
+    def get_or_none(self, path: str) -> Any | None:
+        """Query the entry; None if it does not answer."""
         return _get(self._pool, self._address, path, self._headers)
 
     def post(self, path: str) -> Any:
-        """Tell the entry to do something that is safe to repeat.
+        """Send an idempotent request without a body.
 
-        :raises RefusedError: it refused
-        :raises UnreachableError: it did not answer
+        :raises RefusedError: the entry refused the request
+        :raises UnreachableError: the entry did not answer
         """
         try:
             answer = self._pool.request(
@@ -215,7 +215,7 @@
     return msgspec.json.decode(answer.data)
 
 
-def _never_left(error: HTTPError) -> bool:
+def _is_unsent(error: HTTPError) -> bool:
     return isinstance(error, urllib3.exceptions.NewConnectionError)
 
 
@@ -223,5 +223,5 @@
     text = answer.data.decode(errors="replace").strip()
     if not text or text.startswith("<"):
         text = answer.reason or ""
-    step = NEXT_STEPS.get(answer.status, "see docs/handbook.rst")
-    return f"refused ({answer.status}): {text}; {step}"
+    hint = HINTS.get(answer.status, "see docs/handbook.rst")
+    return f"refused ({answer.status}): {text}; {hint}"
--- a/packages/cli/nutmegchute_cli/declarations.py
+++ b/packages/cli/nutmegchute_cli/declarations.py
@@ -16,7 +16,7 @@
 
 
 def read_declarations(folder: Path) -> Result[dict[str, Any], UsageError]:
-    """Read and check every team's file; teams are named by the files."""
+    """Read and check every team's file, named after the team."""
     documents: dict[str, Any] = {}
     paths = sorted(folder.glob("*.json"))
     if not paths:
@@ -40,10 +40,10 @@
 def change_id(
     bases: dict[str, int], documents: dict[str, Any], key: str
 ) -> str:
-    """Name a change by its content, so that a resend is recognised.
+    """Return an id derived from a change's content, to recognise a resend.
 
-    The operator's key goes in: two operators who send the same content
-    make two changes, and the audit trail must name each.
+    The operator's key is included: the same content sent by two operators
+    is two changes, and the audit trail must record both.
     """
     content = [bases, documents, hashlib.sha256(key.encode()).hexdigest()]
     data = msgspec.json.encode(content, order="deterministic")
--- a/packages/cli/nutmegchute_cli/differences.py
+++ b/packages/cli/nutmegchute_cli/differences.py
@@ -1,4 +1,4 @@
-"""Tell documents apart, place by place."""
+"""Compare documents."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 REMOVED = "-"
 CHANGED = "~"
 
-VALUE_CHARACTERS = 60
+MAX_VALUE_CHARACTERS = 60
 
 
 class Difference:
-    """Name one place and what stands there before and after."""
+    """Hold one place and its values before and after."""
 
     __slots__ = ("_after", "_before", "_kind", "_place")
 
@@ -24,16 +24,16 @@
 
     @property
     def kind(self) -> str:
-        """Give one of ADDED, REMOVED and CHANGED."""
+        """Kind of the difference: ADDED, REMOVED or CHANGED."""
         return self._kind
 
     @property
     def place(self) -> str:
-        """Name the place as a path."""
+        """Path of the place in the document."""
         return self._place
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the difference as JSON shows it."""
+        """Return the difference for the JSON output."""
         return {
             "kind": self._kind,
             "place": self._place,
@@ -43,22 +43,22 @@
 
     def __str__(self) -> str:
         """Return the difference as one line."""
-        head = f"{self._kind} {self._place}: "
+        prefix = f"{self._kind} {self._place}: "
         if self._kind == ADDED:
-            return head + _short(self._after)
+            return prefix + _shorten(self._after)
         if self._kind == REMOVED:
-            return head + _short(self._before)
-        return f"{head}{_short(self._before)} -> {_short(self._after)}"
+            return prefix + _shorten(self._before)
+        return f"{prefix}{_shorten(self._before)} -> {_shorten(self._after)}"
 
 
 def compare(before: Any, after: Any, place: str = "") -> list[Difference]:
-    """List every place where two documents differ."""
-    # Not by ==, in which true equals 1: a plan would hide that change.
+    """Return every difference between two documents."""
+    # With ==, True equals 1, and a plan would not show that change.
     if _encode(before) == _encode(after):
         return []
     if isinstance(before, dict) and isinstance(after, dict):
         return _compare_maps(before, after, place)
-    if _named(before) and _named(after):
+    if _has_unique_names(before) and _has_unique_names(after):
         return _compare_named(before, after, place)
     return [Difference(CHANGED, place or "(all)", before, after)]
 
@@ -68,14 +68,14 @@
 ) -> list[Difference]:
     found: list[Difference] = []
     for key in sorted(before.keys() | after.keys()):
-        below = f"{place}/{key}" if place else key
+        child = f"{place}/{key}" if place else key
         if key not in before:
-            found.append(Difference(ADDED, below, None, after[key]))
+            found.append(Difference(ADDED, child, None, after[key]))
             continue
         if key not in after:
-            found.append(Difference(REMOVED, below, before[key], None))
+            found.append(Difference(REMOVED, child, before[key], None))
             continue
-        found.extend(compare(before[key], after[key], below))
+        found.extend(compare(before[key], after[key], child))
     return found
 
 
@@ -85,8 +85,8 @@
     old = {one["name"]: one for one in before}
     new = {one["name"]: one for one in after}
     found = _compare_maps(old, new, place)
-    # The first rule that matches a request wins, so an order that alone
-    # changes can still change what happens to a loan.
+    # The first rule that matches a request applies, so a change of order
+    # alone can change how requests are handled.
     kept_before = [name for name in old if name in new]
     kept_after = [name for name in new if name in old]
     if kept_before != kept_after:
@@ -96,8 +96,8 @@
     return found
 
 
-def _named(value: Any) -> bool:
-    """Tell whether a list can be compared by its items' names."""
+def _has_unique_names(value: Any) -> bool:
+    """Return whether a value is a list of items with unique names."""
     if not isinstance(value, list):
         return False
     names = []
@@ -112,8 +112,8 @@
     return msgspec.json.encode(value, order="deterministic")
 
 
-def _short(value: Any) -> str:
+def _shorten(value: Any) -> str:
     text = msgspec.json.encode(value).decode()
-    if len(text) <= VALUE_CHARACTERS:
+    if len(text) <= MAX_VALUE_CHARACTERS:
         return text
-    return text[: VALUE_CHARACTERS - 3] + "..."
+    return text[: MAX_VALUE_CHARACTERS - 3] + "..."
--- a/packages/cli/nutmegchute_cli/drains.py
+++ b/packages/cli/nutmegchute_cli/drains.py
@@ -10,20 +10,20 @@
 
 
 def drain(options: Options) -> int:
-    """Tell an entry to drain and wait until it has stopped."""
+    """Drain an entry and wait until it has stopped."""
     client = options.entry()
     client.post("/drain")
-    print(f"{client.address} drains: it is named to no caller any more")
+    print(f"{client.address} is draining: callers no longer get its address")
     deadline = time.monotonic() + options.wait_s
     while True:
-        if client.find("/status") is None:
+        if client.get_or_none("/status") is None:
             print(f"{client.address} has stopped")
             return EXIT_DONE
         if time.monotonic() >= deadline:
             break
         time.sleep(POLL_S)
     raise OutcomeUnknownError(
-        f"{client.address} drains still after {options.wait_s:g} s: it "
-        "outlasts the answers that named it and the calls in flight; run "
-        "the same command again to go on waiting"
+        f"{client.address} is still draining after {options.wait_s:g} s: it "
+        "waits for cached addresses to expire and calls in flight to end; "
+        "run the same command again to continue waiting"
     )
--- a/packages/cli/nutmegchute_cli/errors.py
+++ b/packages/cli/nutmegchute_cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line; each knows its exit status."""
+"""Errors of the command line with their exit statuses."""
 
 EXIT_DONE = 0
 EXIT_REFUSED = 1
@@ -8,28 +8,28 @@
 
 
 class CliError(Exception):
-    """Say what failed and what to do next."""
+    """Report what failed and what to do next."""
 
     exit_status = EXIT_REFUSED
 
 
 class UsageError(CliError):
-    """Say what is wrong with the command, a declaration or a setting."""
+    """Report an invalid command, declaration or setting."""
 
     exit_status = EXIT_USAGE
 
 
 class RefusedError(CliError):
-    """Pass on why control refused."""
+    """Report why a daemon refused the request."""
 
 
 class UnreachableError(CliError):
-    """Say that nothing answered, so that nothing was done."""
+    """Report that no daemon answered and nothing was done."""
 
     exit_status = EXIT_UNREACHABLE
 
 
 class OutcomeUnknownError(CliError):
-    """Say that a change may or may not be accepted or in force."""
+    """Report that a change may or may not be accepted or in force."""
 
     exit_status = EXIT_UNKNOWN
--- a/packages/cli/nutmegchute_cli/explanations.py
+++ b/packages/cli/nutmegchute_cli/explanations.py
@@ -1,4 +1,4 @@
-"""Put a request's story together from the logs of many daemons."""
+"""Explain from the logs of daemons how a request was handled."""
 
 import re
 from collections.abc import Callable
@@ -17,46 +17,47 @@
 CALL_ENDED = "NC3016"
 CONFIG_APPLIED = "NC3001"
 ENDPOINTS_CHANGED = "NC3014"
-# An endpoint ended under a request, which was quarantined, or freed again.
-OF_CRASHES = ("NC3021", "NC2021", "NC2022")
-# A collector may put a time and a name before each line.
-_LINE = re.compile(r"\{.*\}")
+# An endpoint crashed during a request, which was quarantined; a quarantine
+# was lifted.
+QUARANTINE_EVENTS = ("NC3021", "NC2021", "NC2022")
+# A log collector may prefix each line with a time and a name.
+_JSON_OBJECT = re.compile(r"\{.*\}")
 
-# What a router's final word means for the one who asks.
+# Meaning of the outcomes that routers log.
 OUTCOMES = {
-    "finish": "an endpoint's answer was passed on",
-    "refuse": "it did not run; the caller was told so",
-    "reject": "no route covers it",
-    "lose": "it may have run; the caller was told so",
-    "gone": "the caller left before there was an answer",
-    "known": "its idempotency key was used before",
+    "finish": "an endpoint's answer was forwarded",
+    "refuse": "it did not run, and the answer said so",
+    "reject": "no route matches it",
+    "lose": "it may have run, and the answer said so",
+    "gone": "the caller disconnected before the answer",
+    "known": "its idempotency key was already used",
 }
 
 
 def explain(options: Options) -> int:
-    """Tell what became of a request, and on what that rested."""
+    """Print how a request was handled and which events led to it."""
     name = options.text("REQUEST")
     lines = []
-    for path in options.many("FILE"):
+    for path in options.texts("FILE"):
         lines.extend(read_lines(Path(path)))
     lines.sort(key=lambda line: str(line.get("timestamp", "")))
-    ends = [line for line in lines if line.get("request") == name]
-    if not ends:
+    calls = [line for line in lines if line.get("request") == name]
+    if not calls:
         raise UsageError(f"no line about request {name!r} in these files")
-    found = [_story(end, lines) for end in ends]
+    found = [_explain_call(call, lines) for call in calls]
     if options.json:
         print_json(found)
         return EXIT_DONE
-    for story in found:
-        for line in story["told"]:
+    for explanation in found:
+        for line in explanation["told"]:
             print(line)
     return EXIT_DONE
 
 
 def read_lines(path: Path) -> list[Line]:
-    """Return the lines of daemons in a file, in their order.
+    """Return the log lines of daemons in a file, in order.
 
-    :raises UsageError: it cannot be read
+    :raises UsageError: the file cannot be read
     """
     lines = []
     try:
@@ -64,75 +65,81 @@
     except OSError as error:
         raise UsageError(f"{path}: {error.strerror}") from error
     for raw in text.splitlines():
-        found = _LINE.search(raw)
+        found = _JSON_OBJECT.search(raw)
         if found is None:
             continue
         try:
             line = msgspec.json.decode(found[0])
         except msgspec.DecodeError:
-            # Other programs write to the same files.
+            # The file also holds the output of other programs.
             continue
         if isinstance(line, dict) and "number" in line:
             lines.append(line)
     return lines
 
 
-def _story(end: Line, lines: list[Line]) -> Line:
-    """Tell one call, and the lines that its choice rested on."""
-    at = str(end.get("timestamp", ""))
-    before = [one for one in lines if str(one.get("timestamp", "")) <= at]
-    told = [_head(end)]
-    config = _newest(
-        before, CONFIG_APPLIED, end, lambda one: one["index"] == end["index"]
+def _explain_call(call: Line, lines: list[Line]) -> Line:
+    """Return one call with a description of the events behind it."""
+    at = str(call.get("timestamp", ""))
+    earlier = [one for one in lines if str(one.get("timestamp", "")) <= at]
+    output = [_describe_outcome(call)]
+    config = _find_last(
+        earlier,
+        CONFIG_APPLIED,
+        call,
+        lambda one: one["index"] == call["index"],
     )
     if config is not None:
-        told.append(f"  configuration: {_short(config)}")
-    known = _newest(
-        before,
+        output.append(f"  configuration: {_format_line(config)}")
+    known = _find_last(
+        earlier,
         ENDPOINTS_CHANGED,
-        end,
-        lambda one: one["version"] <= end["known"],
+        call,
+        lambda one: one["version"] <= call["known"],
     )
     if known is not None:
-        told.append(f"  endpoints: {_short(known)}")
-    for send in end["sends"]:
-        told.append(f"  sent: {_fields(send)}")
-        for one in before:
+        output.append(f"  endpoints: {_format_line(known)}")
+    for send in call["sends"]:
+        output.append(f"  sent: {_format_fields(send)}")
+        for one in earlier:
             if one.get("instance") == send.get("instance"):
-                told.append(f"    its endpoint: {_short(one)}")
-    if not end["sends"]:
-        told.append("  never sent to an endpoint")
-    for one in before:
-        if one["number"] not in OF_CRASHES:
+                output.append(f"    endpoint event: {_format_line(one)}")
+    if not call["sends"]:
+        output.append("  not sent to any endpoint")
+    for one in earlier:
+        if one["number"] not in QUARANTINE_EVENTS:
             continue
-        if one.get("fingerprint") == end.get("fingerprint"):
-            told.append(f"  the same request: {_short(one)}")
-    return {"call": end, "told": told}
+        if one.get("fingerprint") == call.get("fingerprint"):
+            output.append(f"  the same request: {_format_line(one)}")
+    return {"call": call, "told": output}
 
 
-def _head(end: Line) -> str:
-    meaning = OUTCOMES.get(end["outcome"], end["outcome"])
-    reason = f" ({end['reason']})" if end.get("reason") else ""
+def _describe_outcome(call: Line) -> str:
+    meaning = OUTCOMES.get(call["outcome"], call["outcome"])
+    reason = f" ({call['reason']})" if call.get("reason") else ""
     return (
-        f"{end.get('timestamp', '')} {end.get('daemon', '')}: "
-        f"route {end['route'] or '-'}, service {end['service'] or '-'}, "
-        f"{end['ms']} ms, status {end['status']}: {meaning}{reason}"
+        f"{call.get('timestamp', '')} {call.get('daemon', '')}: "
+        f"route {call['route'] or '-'}, service {call['service'] or '-'}, "
+        f"{call['ms']} ms, status {call['status']}: {meaning}{reason}"
     )
 
 
-def _newest(
-    lines: list[Line], number: str, end: Line, holds: Callable[[Line], bool]
+def _find_last(
+    lines: list[Line],
+    number: str,
+    call: Line,
+    matches: Callable[[Line], bool],
 ) -> Line | None:
-    """Return the last such line of the daemon that had the call."""
+    """Return the last matching line of the daemon that handled the call."""
     for line in reversed(lines):
-        if line["number"] != number or line.get("daemon") != end["daemon"]:
+        if line["number"] != number or line.get("daemon") != call["daemon"]:
             continue
-        if holds(line):
+        if matches(line):
             return line
     return None
 
 
-def _short(line: Line) -> str:
+def _format_line(line: Line) -> str:
     kept = {
         key: value
         for key, value in line.items()
@@ -140,9 +147,9 @@
     }
     return (
         f"{line.get('timestamp', '')} {line['number']} "
-        f"{line.get('event', '')}: {_fields(kept)}"
+        f"{line.get('event', '')}: {_format_fields(kept)}"
     )
 
 
-def _fields(values: Line) -> str:
+def _format_fields(values: Line) -> str:
     return " ".join(f"{key}={value}" for key, value in values.items())
--- a/packages/cli/nutmegchute_cli/listings.py
+++ b/packages/cli/nutmegchute_cli/listings.py
@@ -1,4 +1,4 @@
-"""List what runs and what is declared."""
+"""List daemons, endpoints, declarations and audit records."""
 
 import datetime
 from typing import Any
@@ -11,26 +11,26 @@
 from .tables import print_rows
 
 CHANGE_ID_CHARACTERS = 8
-# Filtered by team here, so all that the replicas keep is asked for.
+# Requests all records that the replicas keep, as they are filtered here.
 AUDIT_PATH = "/audit?limit=100000"
 
 
 def status(options: Options) -> int:
-    """Tell which replica leads and whether all is in force."""
+    """List the control replicas; EXIT_UNKNOWN if none of them leads."""
     rows = []
-    leads = False
+    has_leader = False
     for address, found in options.control().statuses().items():
         found = found or {"state": "silent"}
-        leads = leads or found["state"] == "leader"
+        has_leader = has_leader or found["state"] == "leader"
         rows.append({"address": address, **found})
     columns = ["address", "name", "state", "term", "commit", "in_force"]
     print_rows(rows, columns, options.json)
-    return EXIT_DONE if leads else EXIT_UNKNOWN
+    return EXIT_DONE if has_leader else EXIT_UNKNOWN
 
 
 def entries(options: Options) -> int:
-    """List the entries, as control or as one entry knows them."""
-    if options.names_entry:
+    """List the entries that control or, if given, one entry knows."""
+    if options.has_entry:
         found = options.entry().get("/status")
         columns = ["name", "address", "availability_zone", "draining"]
         print_rows(found["entries"], columns, options.json)
@@ -74,7 +74,7 @@
 
 
 def show(options: Options) -> int:
-    """Print the tree or one branch; the output is JSON always."""
+    """Print the tree or one branch, always as JSON."""
     tree = options.control().get("/tree")
     team = options.text("TEAM")
     if not team:
@@ -87,7 +87,7 @@
 
 
 def audit(options: Options) -> int:
-    """List who changed what, newest last."""
+    """List changes and their operators, newest last."""
     wanted = options.text("TEAM")
     rows = []
     for record in options.control().get(AUDIT_PATH):
--- a/packages/cli/nutmegchute_cli/options.py
+++ b/packages/cli/nutmegchute_cli/options.py
@@ -1,4 +1,4 @@
-"""Hold the options of one command, checked."""
+"""Read and check the options of a command."""
 
 import math
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class Options:
-    """Read the arguments first and the environment where they are silent."""
+    """Read options from the arguments or, if absent, the environment."""
 
     __slots__ = ("_arguments", "_environment")
 
@@ -26,67 +26,67 @@
 
     @property
     def json(self) -> bool:
-        """Tell whether to print JSON in place of tables."""
+        """Whether to print JSON in place of tables."""
         return bool(self._arguments["--json"])
 
     @property
     def remove(self) -> bool:
-        """Tell whether a branch without a file is to be removed."""
+        """Whether to remove branches without a file."""
         return bool(self._arguments["--remove"])
 
     @property
     def wait_s(self) -> float:
-        """Give how long to wait for the end, in seconds."""
+        """How long to wait for completion, in seconds."""
         return self._number("--wait-s")
 
     @property
     def window_s(self) -> float:
-        """Give the seconds in one span of a summary.
+        """Length of a time window in a summary, in seconds.
 
-        :raises UsageError: it is nothing
+        :raises UsageError: it is not positive
         """
         window_s = self._number("--window-s")
         if window_s <= 0:
-            raise UsageError("--window-s must be above 0")
+            raise UsageError("--window-s must be greater than 0")
         return window_s
 
     @property
     def limit(self) -> int:
-        """Give the most records to list; 0 lists all."""
+        """Maximum number of records to list; 0 lists all."""
         return int(self._number("--limit"))
 
     @property
     def key(self) -> str:
-        """Give the operator's key, empty where none is set."""
+        """The operator's key, empty if none is set."""
         return self._environment.get(KEY_VARIABLE, "")
 
     @property
-    def names_entry(self) -> bool:
-        """Tell whether an entry is named."""
+    def has_entry(self) -> bool:
+        """Whether the address of an entry is given."""
         return bool(self._entry())
 
     def text(self, name: str) -> str:
-        """Return a positional argument, empty where it was left out."""
+        """Return a positional argument, empty if it was omitted."""
         return str(self._arguments[name] or "")
 
-    def many(self, name: str) -> list[str]:
-        """Return a positional argument that may be repeated."""
+    def texts(self, name: str) -> list[str]:
+        """Return the values of a repeatable positional argument."""
         return list(self._arguments[name])
 
-    def given(self, word: str) -> bool:
-        """Tell whether a command word was given."""
-        return bool(self._arguments[word])
+    def is_given(self, command: str) -> bool:
+        """Return whether a subcommand was given."""
+        return bool(self._arguments[command])
 
     def control(self) -> ControlClient:
         """Return a client of the control replicas.
 
-        :raises UsageError: none is named
+        :raises UsageError: no address is given
         """
-        named = self._arguments["--control"]
-        addresses = named or self._environment.get(CONTROL_VARIABLE, "")
+        value = self._arguments["--control"]
+        addresses = value or self._environment.get(CONTROL_VARIABLE, "")
         if not addresses:
             raise UsageError(
-                "name the control replicas with --control=ADDRESSES or "
+                "give the control replicas with --control=ADDRESSES or "
                 f"the variable {CONTROL_VARIABLE}"
             )
         return ControlClient(addresses.split(","), self.key)
@@ -94,19 +94,19 @@
     def entry(self) -> EntryClient:
         """Return a client of one entry.
 
-        :raises UsageError: none is named
+        :raises UsageError: no address is given
         """
         address = self._entry()
         if not address:
             raise UsageError(
-                "name an entry with --entry=ADDRESS or the variable "
+                "give an entry with --entry=ADDRESS or the variable "
                 f"{ENTRY_VARIABLE}"
             )
         return EntryClient(address, self.key)
 
     def _entry(self) -> str:
-        named = self._arguments["--entry"]
-        return str(named or self._environment.get(ENTRY_VARIABLE, ""))
+        value = self._arguments["--entry"]
+        return str(value or self._environment.get(ENTRY_VARIABLE, ""))
 
     def _number(self, name: str) -> float:
         text = self._arguments[name]
@@ -115,5 +115,5 @@
         except ValueError:
             number = math.nan
         if not 0 <= number < math.inf:
-            raise UsageError(f"{name}: {text!r} is not a number from 0 on")
+            raise UsageError(f"{name}: {text!r} is not a non-negative number")
         return number
--- a/packages/cli/nutmegchute_cli/quarantines.py
+++ b/packages/cli/nutmegchute_cli/quarantines.py
@@ -5,13 +5,13 @@
 from .options import Options
 from .tables import print_rows
 
-DONE = "accepted"
+ACCEPTED = "accepted"
 COLUMNS = ["service", "fingerprint", "state", "left_s", "processes"]
 
 
 def run(options: Options) -> int:
     """Run the quarantine command that was given."""
-    if options.given("lift"):
+    if options.is_given("lift"):
         return _lift(options)
     rows = options.control().get("/quarantine")
     print_rows(rows, COLUMNS, options.json)
@@ -24,7 +24,7 @@
         "fingerprint": options.text("FINGERPRINT"),
     }
     answer = options.control().post("/quarantine", body, 0.0)
-    if answer["outcome"] != DONE:
+    if answer["outcome"] != ACCEPTED:
         raise RefusedError(f"{answer['outcome']}: {answer['detail']}")
     print(answer["detail"])
     return EXIT_DONE
--- a/packages/cli/nutmegchute_cli/replicas.py
+++ b/packages/cli/nutmegchute_cli/replicas.py
@@ -1,4 +1,4 @@
-"""List the control replicas and change who they are."""
+"""List the control replicas and change their membership."""
 
 from typing import Any
 
@@ -7,19 +7,19 @@
 from .options import Options
 from .tables import print_rows
 
-DONE = "accepted"
+ACCEPTED = "accepted"
 WAITING = "waiting"
 
 
 def run(options: Options) -> int:
     """Run the replicas command that was given."""
-    if options.given("add"):
-        return _send(options, {"action": "add", **_addresses(options, "NAME")})
-    if options.given("remove"):
+    if options.is_given("add"):
+        return _send(options, {"action": "add", **_member(options, "NAME")})
+    if options.is_given("remove"):
         name = options.text("NAME")
         return _send(options, {"action": "remove", "name": name})
-    if options.given("replace"):
-        body = {"action": "replace", **_addresses(options, "NEW")}
+    if options.is_given("replace"):
+        body = {"action": "replace", **_member(options, "NEW")}
         return _send(options, {**body, "replaces": options.text("NAME")})
     found = options.control().get("/replicas")
     rows = list(found["replicas"])
@@ -31,7 +31,7 @@
     return EXIT_DONE
 
 
-def _addresses(options: Options, name: str) -> dict[str, str]:
+def _member(options: Options, name: str) -> dict[str, str]:
     return {
         "name": options.text(name),
         "grpc_address": options.text("GRPC_ADDRESS"),
@@ -40,10 +40,10 @@
 
 
 def _send(options: Options, body: dict[str, Any]) -> int:
-    # Sent once: unlike a change it has no id, and a resend after a lost
-    # answer would be refused although the first one was done.
+    # Sent only once, without retries: the request has no id, and a resend
+    # after a lost answer would be refused although the first succeeded.
     answer = options.control().post("/replicas", body, 0.0)
-    if answer["outcome"] != DONE:
+    if answer["outcome"] != ACCEPTED:
         raise RefusedError(f"{answer['outcome']}: {answer['detail']}")
     print(answer["detail"] or "done")
     return EXIT_DONE
--- a/packages/cli/nutmegchute_cli/summaries.py
+++ b/packages/cli/nutmegchute_cli/summaries.py
@@ -1,4 +1,4 @@
-"""Say where a span of time went, from the logs of many daemons."""
+"""Summarize the logs of daemons per time window."""
 
 from collections import Counter
 from datetime import datetime
@@ -13,121 +13,132 @@
 from .options import Options
 from .tables import print_rows
 
-# Lines about a daemon rather than a call, as they are named in a summary.
-MOMENTS = {
+# Names of the events of daemons, rather than of calls, in a summary.
+DAEMON_EVENTS = {
     "NC1001": "started",
     "NC1002": "stopping",
     "NC2001": "leads",
-    "NC2009": "disk refuses",
+    "NC2009": "data folder unusable",
     "NC3001": "configuration in force",
-    "NC3012": "control lost",
-    "NC3018": "stood still",
+    "NC3012": "control unreachable",
+    "NC3018": "paused",
 }
-MOST_REASONS = 3
-MOST_ENDPOINTS = 5
-# A call whose first send came later than this waited for room here.
-WAITED_MS = 50.0
+MAX_REASONS = 3
+MAX_ENDPOINTS = 5
+# A call that is first sent later than this counts as queued.
+WAIT_THRESHOLD_MS = 50.0
 
 
-class Span:
-    """Count what ended in one span of time."""
+class Window:
+    """Count calls and events of daemons in one time window."""
 
-    __slots__ = ("endpoints", "moments", "outcomes", "reasons", "waits")
+    __slots__ = (
+        "daemon_events",
+        "endpoints",
+        "outcomes",
+        "reasons",
+        "waits_ms",
+    )
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
         self.reasons: Counter[str] = Counter()
-        # Milliseconds until the first send, or until the end without one.
-        self.waits: list[float] = []
-        # Milliseconds that attempts took, by endpoint.
+        # Time until the first send, or until the end of a call without one.
+        self.waits_ms: list[float] = []
+        # Durations of attempts in milliseconds, by endpoint.
         self.endpoints: dict[str, list[float]] = {}
-        self.moments: Counter[str] = Counter()
+        self.daemon_events: Counter[str] = Counter()
 
     def add(self, line: Line) -> None:
         """Count one line."""
-        if line["number"] in MOMENTS:
-            self.moments[MOMENTS[line["number"]]] += 1
+        if line["number"] in DAEMON_EVENTS:
+            self.daemon_events[DAEMON_EVENTS[line["number"]]] += 1
         if line["number"] != CALL_ENDED:
             return
         self.outcomes[line["outcome"]] += 1
         if line.get("reason"):
             self.reasons[line["reason"]] += 1
         sends = line["sends"]
-        self.waits.append(sends[0]["at_ms"] if sends else line["ms"])
+        self.waits_ms.append(sends[0]["at_ms"] if sends else line["ms"])
         for send in sends:
-            took = self.endpoints.setdefault(send["to"], [])
-            took.append(send.get("ms", 0.0))
+            durations_ms = self.endpoints.setdefault(send["to"], [])
+            durations_ms.append(send.get("ms", 0.0))
 
     @property
     def calls(self) -> int:
-        """Count the calls that ended."""
+        """Number of calls that ended."""
         return self.outcomes.total()
 
-    def describe(self, at_s: float) -> dict[str, Any]:
-        """Give the figures of a span that begins at a second."""
-        waited = sum(one > WAITED_MS for one in self.waits)
-        reasons = self.reasons.most_common(MOST_REASONS)
+    def describe(self, start_s: float) -> dict[str, Any]:
+        """Return the window's row; ``start_s`` is when it begins."""
+        waited = sum(one > WAIT_THRESHOLD_MS for one in self.waits_ms)
+        reasons = self.reasons.most_common(MAX_REASONS)
         return {
-            "from_s": round(at_s, 1),
+            "from_s": round(start_s, 1),
             "calls": self.calls,
             "answered": self.outcomes["finish"],
             "refused": self.outcomes["refuse"],
             "lost": self.outcomes["lose"],
             "waited": waited,
-            "wait_p90_ms": round(_quantile(self.waits, 0.9)),
+            "wait_p90_ms": round(_quantile(self.waits_ms, 0.9)),
             "reasons": ", ".join(f"{one} {count}" for one, count in reasons),
             "slowest": ", ".join(self._slowest()),
             "daemons": ", ".join(
-                f"{one} {count}" for one, count in self.moments.items()
+                f"{one} {count}" for one, count in self.daemon_events.items()
             ),
         }
 
     def _slowest(self) -> list[str]:
         means = {
-            name: sum(took) / len(took)
-            for name, took in self.endpoints.items()
+            name: sum(durations_ms) / len(durations_ms)
+            for name, durations_ms in self.endpoints.items()
         }
         names = sorted(means, key=lambda name: -means[name])
         return [
-            f"{name} {means[name]:.0f} ms" for name in names[:MOST_ENDPOINTS]
+            f"{name} {means[name]:.0f} ms" for name in names[:MAX_ENDPOINTS]
         ]
 
 
 def summarize(options: Options) -> int:
-    """Print a row for each span of time that the logs cover."""
+    """Print a row for each time window that has log lines."""
     lines: list[Line] = []
-    for path in options.many("FILE"):
+    for path in options.texts("FILE"):
         lines.extend(read_lines(Path(path)))
-    spans = divide(lines, options.window_s)
-    if not spans:
-        raise UsageError("no line of a daemon in these files")
-    rows = [span.describe(at_s) for at_s, span in spans]
+    windows = split_into_windows(lines, options.window_s)
+    if not windows:
+        raise UsageError("no log line of a daemon in these files")
+    rows = [window.describe(start_s) for start_s, window in windows]
     print_rows(rows, list(rows[0]), options.json)
     return EXIT_DONE
 
 
-def divide(lines: list[Line], window_s: float) -> list[tuple[float, Span]]:
-    """Sort lines into spans of so many seconds from the first line on."""
-    times = {}
+def split_into_windows(
+    lines: list[Line], window_s: float
+) -> list[tuple[float, Window]]:
+    """Return the start and the window of each time window with lines.
+
+    The first window starts at the earliest line.
+    """
+    times_s = {}
     for number, line in enumerate(lines):
         try:
-            at = datetime.fromisoformat(str(line.get("timestamp")))
+            logged_at = datetime.fromisoformat(str(line.get("timestamp")))
         except ValueError:
-            # A line without a time says nothing of when.
+            # A line without a time belongs to no window.
             continue
-        times[number] = at.timestamp()
-    if not times:
+        times_s[number] = logged_at.timestamp()
+    if not times_s:
         return []
-    first = min(times.values())
-    spans: dict[int, Span] = {}
-    for number, at_s in times.items():
-        place = int((at_s - first) / window_s)
-        spans.setdefault(place, Span()).add(lines[number])
-    return [(place * window_s, spans[place]) for place in sorted(spans)]
+    first_s = min(times_s.values())
+    windows: dict[int, Window] = {}
+    for number, time_s in times_s.items():
+        index = int((time_s - first_s) / window_s)
+        windows.setdefault(index, Window()).add(lines[number])
+    return [(index * window_s, windows[index]) for index in sorted(windows)]
 
 
-def _quantile(values: list[float], share: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[int(share * (len(ordered) - 1))]
+    return ordered[int(fraction * (len(ordered) - 1))]
--- a/packages/cli/nutmegchute_cli/tables.py
+++ b/packages/cli/nutmegchute_cli/tables.py
@@ -1,10 +1,10 @@
-"""Print listings as tables for people or JSON for programs."""
+"""Print listings as tables or JSON."""
 
 from typing import Any
 
 import msgspec
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def print_json(value: Any) -> None:
@@ -28,7 +28,7 @@
         cells = [
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ]
-        print(GAP.join(cells).rstrip())
+        print(COLUMN_SEPARATOR.join(cells).rstrip())
 
 
 def _cell(value: Any) -> str:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Test what an operator sees of each command, and its exit status."""
+"""Test the output and the exit status of each command."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def control() -> Iterator[FakeControl]:
-    """Serve a control replica that knows two operators."""
+    """Run a fake control replica with two operators."""
     fake = FakeControl({"key-1": "ana", "key-2": "bo"})
     yield fake
     fake.stop()
@@ -31,7 +31,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> Run:
-    """Run a command as operator ana; give status, output and errors."""
+    """Run a command as operator ana; return status, output and errors."""
     monkeypatch.setenv("NUTMEGCHUTE_CONTROL", control.address)
 
     def run_one(*words: str, key: str = "key-1") -> tuple[int, str, str]:
@@ -51,7 +51,7 @@
 
 
 def test_plan_names_each_place(run: Run, tmp_path: Path) -> None:
-    """Show old and new value of the one place that differs."""
+    """Show the old and the new value of the only difference."""
     assert run("apply", declare(tmp_path, 100))[0] == 0
     status, out, _ = run("plan", declare(tmp_path, 250))
     assert status == 0
@@ -61,7 +61,7 @@
 
 
 def test_order_of_rules_is_a_difference(run: Run, tmp_path: Path) -> None:
-    """Show a change of order alone: the first match wins."""
+    """Show a mere change of order, as the first matching rule applies."""
     rules = [rule(name="first"), rule(name="second")]
     path = tmp_path / "lending.json"
     path.write_bytes(msgspec.json.encode(team(lending=rules)))
@@ -70,10 +70,10 @@
     assert "rules (order)" in run("plan", str(tmp_path))[1]
 
 
-def test_second_apply_reports_what_is_in_force(
+def test_second_apply_reports_whether_in_force(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Send nothing the second time, and still say whether it is in force."""
+    """Send nothing the second time, but report whether all is in force."""
     folder = declare(tmp_path, 100)
     assert "in force everywhere" in run("apply", folder)[1]
     status, out, _ = run("apply", folder)
@@ -86,14 +86,13 @@
     assert "not yet in force" in err
 
 
-def test_lost_answer_is_found_again(
+def test_apply_again_after_lost_answer(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Lost answer is found again.
+    """Find an accepted change whose answer was lost, and not apply it twice.
 
-    The change is accepted and the answer lost, so the operator sees
-    "may or may not". Running the same command must find the change in
-    force and not apply it a second time.
+    The change is accepted and the answer lost, so the first command exits
+    with status 4.
     """
     folder = declare(tmp_path, 100)
     control.faults = [ANSWER_LOST]
@@ -105,13 +104,12 @@
     assert "in force everywhere" in out
 
 
-def test_lost_answer_is_resent_under_one_id(
+def test_resends_have_one_change_id(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Lost answer is resent under one id.
+    """Resend a change with the same id, so that it is applied once.
 
-    Two answers are lost while time is left. The command resends the
-    same change id by itself and gets the first answer, applied once.
+    Two answers are lost before the deadline of the command.
     """
     control.faults = [ANSWER_LOST, ANSWER_LOST]
     assert run("apply", declare(tmp_path, 100))[0] == 0
@@ -120,13 +118,12 @@
     assert control.tree.revisions == {"lending": 1}
 
 
-def test_nothing_done_is_told_from_unknown(
+def test_nothing_done_differs_from_unknown(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Nothing done is told from unknown.
+    """Exit with status 3, not 4, when nothing was proposed.
 
-    A replica without a leader proposes nothing: say "nothing was done"
-    (status 3), not "may or may not" (status 4).
+    A replica without a leader proposes no change.
     """
     control.faults = [REQUEST_LOST]
     status, _, err = run("apply", declare(tmp_path, 100), "--wait-s=0")
@@ -137,18 +134,18 @@
 def test_conflict_names_the_winner(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Conflict names the winner.
+    """Report who made the conflicting change, and what to do.
 
-    Ana plans from revision 1; bo's change from the same revision gets
-    there first. Ana is refused and told that bo won, and what to do.
+    Ana's change is based on revision 1; bo's change of the same revision is
+    accepted first.
     """
     folder = declare(tmp_path, 100)
     run("apply", folder)
     stale = control.get_page("/tree")
-    mine = control.get_page
+    original_page = control.get_page
 
     def page_before_bo(path: str) -> Any:
-        return stale if path == "/tree" else mine(path)
+        return stale if path == "/tree" else original_page(path)
 
     run("apply", declare(tmp_path, 200), key="key-2")
     control.get_page = page_before_bo  # type: ignore[method-assign]
@@ -162,10 +159,9 @@
 def test_missing_file_removes_nothing(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Missing file removes nothing.
+    """Keep a branch without a file unless --remove is given.
 
-    A checkout without one team's file must not take its services
-    away; only --remove does.
+    An incomplete checkout would otherwise remove a team's services.
     """
     declare(tmp_path, 100, "lending")
     run("apply", declare(tmp_path, 100, "shelves"))
@@ -182,7 +178,7 @@
 def test_operators_with_equal_content_make_two_changes(
     run: Run, control: FakeControl, tmp_path: Path
 ) -> None:
-    """Name the operator in the change id, so that each is recorded."""
+    """Derive the change id from the operator, too, to record both."""
     folder = declare(tmp_path, 100)
     run("apply", folder)
     stale = Path(folder)
@@ -193,7 +189,7 @@
 
 
 def test_wrong_key_says_what_to_set(run: Run, tmp_path: Path) -> None:
-    """Name the variable that holds the key."""
+    """Name the variable to set in the error message."""
     status, _, err = run("apply", declare(tmp_path, 100), key="wrong")
     assert status == 1
     assert "no operator has this key" in err
@@ -201,7 +197,7 @@
 
 
 def test_unreachable_control(run: Run, tmp_path: Path) -> None:
-    """Give status 3 and the addresses that were tried."""
+    """Exit with status 3 and print the addresses that were tried."""
     status, _, err = run("status", "--control=127.0.0.1:9")
     assert status == 3
     assert "127.0.0.1:9" in err
@@ -220,8 +216,10 @@
         ("status", "--control=:"),
     ],
 )
-def test_wrong_use_has_its_status(run: Run, words: tuple[str, ...]) -> None:
-    """End with status 2 and a line on standard error, never a trace."""
+def test_invalid_usage_has_its_status(
+    run: Run, words: tuple[str, ...]
+) -> None:
+    """Exit with status 2 and an error message, without a traceback."""
     status, out, err = run(*words)
     assert status == 2
     assert out == ""
@@ -242,7 +240,7 @@
         ("plan",),
     ],
 )
-def test_listings_speak_json(
+def test_listings_print_json(
     run: Run, control: FakeControl, tmp_path: Path, words: tuple[str, ...]
 ) -> None:
     """Print one JSON document and nothing else with --json."""
@@ -260,7 +258,7 @@
 
 
 def test_audit_is_filtered_and_limited(run: Run, tmp_path: Path) -> None:
-    """List one team's records, the newest of them."""
+    """List the newest records of one team."""
     for deadline_ms in (100, 200, 300):
         run("apply", declare(tmp_path, deadline_ms))
     out = run("audit", "lending", "--limit=1", "--json")[1]
@@ -270,13 +268,13 @@
 
 
 def test_status_without_leader(run: Run, control: FakeControl) -> None:
-    """Tell by the exit status that nobody leads."""
+    """Exit with status 4 when there is no leader."""
     control.state = "follower"
     assert run("status")[0] == 4
 
 
-def test_replicas_that_wait_are_listed(run: Run, control: FakeControl) -> None:
-    """Show a newcomer, so that the operator can take it in."""
+def test_waiting_replicas_are_listed(run: Run, control: FakeControl) -> None:
+    """List a replica that waits for an operator to add it."""
     control.replicas = [{"name": "control-1", "kind": "voter"}]
     control.waiting = [{"name": "control-4"}]
     rows = msgspec.json.decode(run("replicas", "--json")[1])
@@ -287,7 +285,7 @@
 
 
 def test_quarantine_is_lifted(run: Run, control: FakeControl) -> None:
-    """List a request that crashes endpoints, and forget it once."""
+    """List a quarantined request and lift its quarantine once."""
     case = {
         "service": "desk",
         "fingerprint": "f1",
@@ -303,10 +301,10 @@
     assert run("quarantine", "lift", "desk", "f1")[0] == 1
 
 
-def test_zone_is_evacuated_and_taken_back(
+def test_evacuation_is_begun_and_finished(
     run: Run, control: FakeControl
 ) -> None:
-    """Order an evacuation twice, list it, and take the zone back."""
+    """Begin an evacuation twice, list it and finish it."""
     assert run("evacuations", "begin", "hall-a")[0] == 0
     assert run("evacuations", "begin", "hall-a")[0] == 0
     (row,) = msgspec.json.decode(run("evacuations", "list", "--json")[1])
@@ -317,8 +315,8 @@
     assert msgspec.json.decode(run("evacuations", "--json")[1]) == []
 
 
-def test_ill_formed_zone_is_wrong_use(run: Run, control: FakeControl) -> None:
-    """Guard against an order that is taken though no zone can have it."""
+def test_invalid_zone_is_refused(run: Run, control: FakeControl) -> None:
+    """Refuse an evacuation of a name that no availability zone can have."""
     status, _, errors = run("evacuations", "begin", "Hall A")
     assert status == 1
     assert "availability zone" in errors
@@ -326,7 +324,7 @@
 
 
 def test_replicas_are_replaced(run: Run, control: FakeControl) -> None:
-    """Send the lost name, the new name and its addresses."""
+    """Send the name of the lost replica, and the new name and addresses."""
     words = ("replace", "control-1", "control-4")
     status, _, _ = run("replicas", *words, "10.0.0.4:1", "10.0.0.4:2")
     assert status == 0
--- a/tests/test_differences.py
+++ b/tests/test_differences.py
@@ -27,10 +27,10 @@
 def test_differences_appear_where_documents_differ(
     before: dict[str, Any], after: dict[str, Any]
 ) -> None:
-    """Find none in equal documents and some in all others.
+    """Find no difference in equal documents and some in all others.
 
-    An empty plan before a change of meaning, be it only the order of two
-    rules, would send what nobody has looked at.
+    If a plan missed a difference, even in the order of two rules, an operator
+    would apply a change without having seen it.
     """
     found = compare(before, after)
     assert (not found) == _same(before, after)
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""Tell a request's story from logs alone."""
+"""Test that logs alone explain how a request was handled."""
 
 import json
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def line(number: str, daemon: str, second: int, **fields: Any) -> str:
-    """Build a log line, with what a collector puts before it."""
+    """Build a log line with the prefix of a log collector."""
     entry = {
         "number": number,
         "daemon": daemon,
@@ -20,7 +20,7 @@
 
 
 def call(request: str, **fields: Any) -> dict[str, Any]:
-    """Build the fields of a call's line."""
+    """Build the fields of the log line of a call."""
     return {
         "request": request,
         "route": "loan",
@@ -36,14 +36,13 @@
     }
 
 
-def test_story_of_a_lost_request(
+def test_lost_request_is_explained(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Tell a lost request from logs alone.
+    """Explain a request whose answer was lost.
 
-    A member asks why a loan was not confirmed. The router sent it once to
-    an endpoint that control had heard draining a second before; its answer
-    never came, and the router may not say that it did not run.
+    The router sent it once to an endpoint that had started to drain before.
+    No answer arrived, so the request may have run.
     """
     router = tmp_path / "router.log"
     router.write_text(
@@ -66,19 +65,21 @@
         + line("NC2014", "control-1", 9, instance="i-1")
     )
     assert main(["explain", "q1", str(router), str(control)]) == 0
-    told = capsys.readouterr().out.splitlines()
-    assert "it may have run" in told[0] and "no upstream answered" in told[0]
-    assert "index=7" in told[1]
-    assert "version=3" in told[2]
-    assert "10.0.0.1:80" in told[3]
-    assert "state=draining" in told[4]
-    assert len(told) == 5
+    output = capsys.readouterr().out.splitlines()
+    assert (
+        "it may have run" in output[0] and "no upstream answered" in output[0]
+    )
+    assert "index=7" in output[1]
+    assert "version=3" in output[2]
+    assert "10.0.0.1:80" in output[3]
+    assert "state=draining" in output[4]
+    assert len(output) == 5
 
 
-def test_story_of_a_quarantined_request(
+def test_quarantined_request_is_explained(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Tell from a refused request which endpoints it ended elsewhere."""
+    """Show for a refused request the crash and the quarantine behind it."""
     router = tmp_path / "router.log"
     refused = call(
         "q1", outcome="refuse", reason="crashes", sends=[], fingerprint="f1"
@@ -95,17 +96,17 @@
         )
     )
     assert main(["explain", "q1", str(router), str(control)]) == 0
-    told = capsys.readouterr().out.splitlines()
-    of_crashes = [one for one in told if "the same request" in one]
-    assert len(of_crashes) == 2
-    assert "NC3021" in of_crashes[0]
-    assert "NC2021" in of_crashes[1]
+    output = capsys.readouterr().out.splitlines()
+    crash_lines = [one for one in output if "the same request" in one]
+    assert len(crash_lines) == 2
+    assert "NC3021" in crash_lines[0]
+    assert "NC2021" in crash_lines[1]
 
 
-def test_unknown_request(
+def test_unknown_request_is_a_usage_error(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Say that no line is there, with status 2."""
+    """Exit with status 2 when no line names the request."""
     path = tmp_path / "router.log"
     path.write_text(line("NC3016", "router-1", 6, **call("q1")))
     assert main(["explain", "q9", str(path)]) == 2
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -1,4 +1,4 @@
-"""Follow docs/operate.rst against daemons, as an operator would."""
+"""Run the commands of docs/operate.rst against real daemons."""
 
 import contextlib
 import io
@@ -56,13 +56,13 @@
         return msgspec.json.decode(out)
 
 
-def test_operators_day(tmp_path: Path) -> None:
-    """Operators apply, look around, replace a replica and drain.
+def test_apply_replace_and_drain(tmp_path: Path) -> None:
+    """Apply declarations, list, replace a control replica and drain an entry.
 
-    Callers see nothing of it. A control vm is lost with its disk; a new
-    one with an empty folder waits, is taken in by "replicas replace" and
-    votes once it has caught up, and the next change is in force. At last
-    an entry is drained, whose daemon ends with status 0.
+    A control vm is lost with its disk. A new replica with an empty data
+    folder waits, replaces the lost one by "replicas replace" and votes once
+    it has caught up; the next change is applied. The daemon of the drained
+    entry exits with status 0.
     """
     cluster = Cluster(tmp_path, ZONES)
     operator = Operator(cluster)
@@ -105,7 +105,8 @@
     _until(lambda: operator.run("status")[0] == 0)
     assert operator.run("replicas", "replace", *words)[0] == 0
     _until(lambda: _kinds(operator).get("control-4") == "voter")
-    # A replica that spoke lately is listed as waiting for some seconds.
+    # A replica that sent a message recently is listed as waiting for some
+    # seconds.
     assert _kinds(operator).get("control-3") in (None, "waiting")
     _until(lambda: "control-3" not in _kinds(operator))
     folder = str(EXAMPLES / "stillekilde" / "declarations")
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""Say from logs alone when requests failed, and why."""
+"""Test that a summary shows when requests failed, and why."""
 
 import json
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 def call(second: float, outcome: str, **fields: Any) -> str:
-    """Build the line of a call."""
+    """Build the log line of a call."""
     values = {
         "request": "q1",
         "outcome": outcome,
@@ -35,19 +35,19 @@
 def summary(
     path: Path, capsys: pytest.CaptureFixture[str], *more: str
 ) -> list[dict[str, Any]]:
-    """Return the rows of a log's summary."""
+    """Return the rows of the summary of a log."""
     assert main(["summarize", str(path), "--json", *more]) == 0
     found: list[dict[str, Any]] = json.loads(capsys.readouterr().out)
     return found
 
 
-def test_rows_tell_when_and_why(
+def test_rows_show_refusals_and_slow_endpoints(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Show in which seconds calls were refused, and by which endpoints.
+    """Show refused calls per time window, and the slowest endpoints.
 
-    A router restarts. In its first second calls are refused for want of a
-    configuration; later one endpoint takes five times as long as another.
+    A router restarts and at first refuses calls, as it has no configuration.
+    Later one endpoint takes five times as long as another.
     """
     path = tmp_path / "router.log"
     fast = [{"to": "a:1", "at_ms": 2.0, "ms": 60.0}]
@@ -73,10 +73,10 @@
     assert len(summary(path, capsys, "--window-s=10")) == 1
 
 
-def test_table_for_people(
+def test_summary_is_printed_as_a_table(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Print a heading and a row for each span."""
+    """Print a heading and a row for each time window."""
     path = tmp_path / "router.log"
     path.write_text(call(1.0, "lose", reason="no upstream answered"))
     assert main(["summarize", str(path)]) == 0
@@ -86,10 +86,10 @@
 
 
 @pytest.mark.parametrize("more", [[], ["--window-s=0"]])
-def test_nothing_to_tell_is_wrong_use(
+def test_log_without_daemon_lines_is_a_usage_error(
     tmp_path: Path, more: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Say so in one line where a file has no line of a daemon."""
+    """Exit with status 2 and one line of error."""
     path = tmp_path / "empty.log"
     path.write_text("nothing\n")
     assert main(["summarize", str(path), *more]) == 2
