--- a/packages/daemon/nutmegchute_daemon/daemons.py
+++ b/packages/daemon/nutmegchute_daemon/daemons.py
@@ -30,7 +30,7 @@
 
 
 class Daemon:
-    """Run one role on an event loop in the main thread."""
+    """Run one role on one event loop in one thread."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
--- a/packages/daemon/nutmegchute_daemon/handlers.py
+++ b/packages/daemon/nutmegchute_daemon/handlers.py
@@ -31,8 +31,8 @@
     """Return an error page of one plain text line without internals."""
     cherrypy.response.headers["Content-Type"] = "text/plain;charset=utf-8"
     if status.startswith(INTERNAL_ERROR):
-        # With a custom error page, CherryPy does not log the exception. An
-        # operator would see status 500 without any record of the cause.
+        # CherryPy does not report the exception here. Without this line, the
+        # operator sees status 500 and nothing records the cause.
         log(Event.CALL_FAILED, "error", trace=format_exc())
     return html.unescape(message) + "\n"
 
