--- a/packages/fakes/nutmegchute_fakes/callers.py
+++ b/packages/fakes/nutmegchute_fakes/callers.py
@@ -1,4 +1,4 @@
-"""Be a fake caller: learn the entries, connect, send, check answers."""
+"""Fake caller that discovers entries, sends requests, checks answers."""
 
 import time
 from typing import Any
@@ -19,32 +19,36 @@
 
 
 class NoEntryError(Exception):
-    """Say that no known entry answered."""
+    """Raised when no known entry answers."""
 
 
 class CallResult:
-    """Hold what became of one request."""
+    """Hold the outcome and latency of one request."""
 
-    __slots__ = ("entry", "identity", "latency_s", "outcome")
+    __slots__ = ("entry", "latency_s", "outcome", "request_id")
 
     def __init__(
-        self, identity: str, outcome: str, latency_s: float, entry: str
+        self, request_id: str, outcome: str, latency_s: float, entry: str
     ) -> None:
-        self.identity = identity
+        self.request_id = request_id
         self.outcome = outcome
         self.latency_s = latency_s
         self.entry = entry
 
 
 class FakeCaller:
-    """Keep the entries' answer as long as it allows, then ask again."""
+    """Send calls to the entries in turn; cache the list of entries.
+
+    The list is fetched again once it expires and after every call whose
+    outcome is not ANSWERED.
+    """
 
     __slots__ = (
+        "_call_count",
         "_entries",
-        "_kept_until",
+        "_expires_at",
         "_pool",
         "_seeds",
-        "_turn",
         "_zone",
     )
 
@@ -52,53 +56,53 @@
         self._seeds = seeds
         self._zone = zone
         self._entries: list[str] = []
-        self._kept_until = 0.0
-        self._turn = 0
+        self._expires_at = 0.0
+        self._call_count = 0
         self._pool = urllib3.PoolManager(
             timeout=TIMEOUT_S, retries=False, maxsize=64
         )
 
-    def learn(self) -> list[str]:
-        """Return the entries to use, asking anew when the answer is old.
+    def list_entries(self) -> list[str]:
+        """Return the addresses of the entries, fetched again when expired.
 
         :raises NoEntryError: none of the known entries answered
         """
-        if self._entries and time.monotonic() < self._kept_until:
+        if self._entries and time.monotonic() < self._expires_at:
             return self._entries
         query = f"?availability_zone={self._zone}" if self._zone else ""
         for address in [*self._entries, *self._seeds]:
-            answer = self._ask(f"http://{address}/entries{query}")
+            answer = self._fetch(f"http://{address}/entries{query}")
             if answer is None or not answer["entries"]:
                 continue
-            self._kept_until = time.monotonic() + answer["keep_s"]
-            self._entries = [word["address"] for word in answer["entries"]]
+            self._expires_at = time.monotonic() + answer["keep_s"]
+            self._entries = [item["address"] for item in answer["entries"]]
             return self._entries
         raise NoEntryError("no entry answered")
 
     def call(
         self,
-        identity: str,
+        request_id: str,
         service: str,
         method: str,
         path: str,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> CallResult:
-        """Send one request to one entry and judge the answer."""
-        entries = self.learn()
-        self._turn += 1
-        entry = entries[self._turn % len(entries)]
+        """Send one request to the next entry and classify the answer."""
+        entries = self.list_entries()
+        self._call_count += 1
+        entry = entries[self._call_count % len(entries)]
         started = time.perf_counter()
         outcome = self._send(
             f"http://{entry}/call/{service}{path}",
             method,
             body,
-            {"X-Request-Id": identity, **(headers or {})},
+            {"X-Request-Id": request_id, **(headers or {})},
         )
         latency_s = time.perf_counter() - started
         if outcome != ANSWERED:
-            self._kept_until = 0.0
-        return CallResult(identity, outcome, latency_s, entry)
+            self._expires_at = 0.0
+        return CallResult(request_id, outcome, latency_s, entry)
 
     def _send(
         self, url: str, method: str, body: bytes, headers: dict[str, str]
@@ -111,19 +115,19 @@
             return REFUSED
         except HTTPError:
             return UNKNOWN
-        said = answer.headers.get(OUTCOME_HEADER)
-        if said == "not-run":
+        reported = answer.headers.get(OUTCOME_HEADER)
+        if reported == "not-run":
             return REFUSED
-        if said == "ran":
+        if reported == "ran":
             return RAN
-        if said is not None or answer.status != 200:
+        if reported is not None or answer.status != 200:
             return UNKNOWN
         document = msgspec.json.decode(answer.data)
-        same = document["echo"] == headers["X-Request-Id"]
-        whole = document["bytes"] == len(body)
-        return ANSWERED if same and whole else WRONG
+        is_own = document["echo"] == headers["X-Request-Id"]
+        is_complete = document["bytes"] == len(body)
+        return ANSWERED if is_own and is_complete else WRONG
 
-    def _ask(self, url: str) -> Any | None:
+    def _fetch(self, url: str) -> Any | None:
         try:
             answer = self._pool.request("GET", url)
         except HTTPError:
--- a/packages/fakes/nutmegchute_fakes/clusters.py
+++ b/packages/fakes/nutmegchute_fakes/clusters.py
@@ -1,4 +1,4 @@
-"""Start and stop a small deployment on loopback, for demo and tests."""
+"""Start and stop a small deployment on loopback for demo and tests."""
 
 import contextlib
 import hashlib
@@ -14,23 +14,23 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-READY_S = 20.0
-STOP_S = 20.0
-LOG_LINES = 12
+READY_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 20.0
+LOG_TAIL_LINES = 12
 OPERATOR_KEY = "loopback-operator-key"
 PORTS = (10000, 32000)
-PORT_TRIES = 1000
+MAX_PORT_TRIES = 1000
 
 _RANDOM = SystemRandom()
-_GIVEN: set[int] = set()
+_ALLOCATED_PORTS: set[int] = set()
 
 
 class ClusterError(Exception):
-    """Say which part of the deployment did not come up or go down."""
+    """Raised when a condition is not met in time or no port is free."""
 
 
 class Process:
-    """Hold one process of the deployment and its addresses."""
+    """Control one process of the deployment and hold its addresses."""
 
     __slots__ = (
         "_command",
@@ -53,25 +53,25 @@
 
     @property
     def name(self) -> str:
-        """Name the process."""
+        """Return the name of the process."""
         return self._name
 
     @property
     def pid(self) -> int:
-        """Give the process id."""
+        """Return the process id."""
         return self._process.pid
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process lives."""
+        """Return whether the process is running."""
         return self._process.poll() is None
 
     def signal(self, number: int) -> None:
         """Send a signal to the process."""
         self._process.send_signal(number)
 
-    def wait(self, timeout_s: float = STOP_S) -> int:
-        """Wait for the end and return the exit status."""
+    def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
+        """Wait until the process exits; return its exit status."""
         return self._process.wait(timeout_s)
 
     def kill(self) -> None:
@@ -81,7 +81,7 @@
         self._process.wait()
 
     def restart(self) -> None:
-        """Start the process again after its end."""
+        """Start the process again after it has exited."""
         self._process = self._start()
 
     def _start(self) -> subprocess.Popen[bytes]:
@@ -105,9 +105,9 @@
         self.upstreams: list[Process] = []
 
     def start(self, controls: int, entries: int, **extra: Any) -> None:
-        """Start the daemons and wait until a leader is there.
+        """Start the daemons; wait for a leader and for all entries.
 
-        ``extra`` goes into the settings of the entries.
+        ``extra`` is added to the settings of the entries.
         """
         peers = []
         for number in range(1, controls + 1):
@@ -130,16 +130,16 @@
                 "grpc_address": address,
                 "http_address": free_address(),
             }
-            document = self._settings("entry", number, own, peers)
+            document = self._build_settings("entry", number, own, peers)
             document["entries"] = seeds
             document.update(extra)
-            self.entries.append(self._daemon(document))
+            self.entries.append(self._start_daemon(document))
         self.wait_for("a leader", self.leader)
         for entry in self.entries:
             self.wait_for(entry.name, lambda one=entry: self.fetch(one))
 
     def add_control(self, name: str) -> dict[str, str]:
-        """Start a control replica with an empty folder; return its line."""
+        """Start a replica with an empty folder; return name and addresses."""
         own = {
             "name": name,
             "grpc_address": free_address(),
@@ -149,7 +149,7 @@
         return own
 
     def add_upstream(self, service: str, **options: Any) -> Process:
-        """Start a fake upstream; options become command-line options."""
+        """Start a fake upstream; ``options`` are command-line options."""
         address = free_address()
         number = len(self.upstreams)
         command = [
@@ -169,7 +169,7 @@
         return process
 
     def fetch(self, process: Process, path: str = "/status") -> Any | None:
-        """Ask a process over HTTP; None says that it did not answer."""
+        """Return a page decoded from JSON; None when the request fails."""
         try:
             answer = self._pool.request(
                 "GET", f"http://{process.address}{path}"
@@ -181,7 +181,7 @@
         return msgspec.json.decode(answer.data)
 
     def leader(self) -> Process | None:
-        """Return the control replica that leads, if one does."""
+        """Return the control replica that is leader, if there is one."""
         for process in self.controls:
             status = self.fetch(process) if process.is_running else None
             if status is not None and status["state"] == "leader":
@@ -189,44 +189,45 @@
         return None
 
     def wait_for(self, what: str, probe: Any) -> Any:
-        """Probe until something true comes back.
+        """Call ``probe`` until its result is true; return the result.
 
-        :raises ClusterError: nothing came in READY_S
+        :raises ClusterError: still false after READY_TIMEOUT_S
         """
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             found = probe()
             if found:
                 return found
             time.sleep(0.05)
         raise ClusterError(
-            f"waited {READY_S} s in vain for {what}\n{self._last_words()}"
+            f"timed out after {READY_TIMEOUT_S} s waiting for {what}\n"
+            f"{self._tail_logs()}"
         )
 
     def stop(self) -> None:
-        """Stop every process, by force where asking does not do."""
-        everyone = [*self.upstreams, *self.entries, *self.controls]
-        for process in everyone:
+        """Terminate every process; kill those that do not exit in time."""
+        processes = [*self.upstreams, *self.entries, *self.controls]
+        for process in processes:
             if process.is_running:
                 process.signal(15)
-        deadline = time.monotonic() + STOP_S
-        for process in everyone:
+        deadline = time.monotonic() + STOP_TIMEOUT_S
+        for process in processes:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 process.wait(max(0.1, deadline - time.monotonic()))
             process.kill()
 
-    def _last_words(self) -> str:
+    def _tail_logs(self) -> str:
         lines = []
         for path in sorted(self.folder.glob("*.log")):
             lines.append(f"{path.name}:")
-            lines.extend(path.read_text().splitlines()[-LOG_LINES:])
+            lines.extend(path.read_text().splitlines()[-LOG_TAIL_LINES:])
         return "\n".join(lines)
 
     def _start_control(
         self, number: int, own: dict[str, str], peers: list[dict[str, str]]
     ) -> None:
         self.peers = peers
-        document = self._settings("control", number, own, peers)
+        document = self._build_settings("control", number, own, peers)
         document["data_folder"] = str(self.folder / own["name"])
         document["operators"] = [
             {
@@ -235,9 +236,9 @@
                 "branches": ["*"],
             }
         ]
-        self.controls.append(self._daemon(document))
+        self.controls.append(self._start_daemon(document))
 
-    def _settings(
+    def _build_settings(
         self, role: str, number: int, own: dict[str, str], peers: list[Any]
     ) -> dict[str, Any]:
         return {
@@ -247,7 +248,7 @@
             **own,
         }
 
-    def _daemon(self, document: dict[str, Any]) -> Process:
+    def _start_daemon(self, document: dict[str, Any]) -> Process:
         name = document["name"]
         path = self.folder / f"{name}.json"
         path.write_bytes(msgspec.json.format(msgspec.json.encode(document)))
@@ -259,24 +260,24 @@
 
 
 def digest(key: str) -> str:
-    """Return the digest under which settings keep a key."""
+    """Return the SHA-256 digest of a key, as settings hold it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def free_address() -> str:
-    """Return a loopback address that nothing listens on.
+    """Return a loopback address with a free port.
 
-    Each is given once in a process. The ports lie below those that the
-    kernel gives to outgoing connections, so that a daemon which is down
-    for a moment finds its port free when it starts again.
+    No port is returned twice in one process. The ports lie below the
+    kernel's range for outgoing connections, so that no connection takes the
+    port of a daemon while it restarts.
 
-    :raises ClusterError: none was free
+    :raises ClusterError: no port was free
     """
-    for _ in range(PORT_TRIES):
+    for _ in range(MAX_PORT_TRIES):
         port = _RANDOM.randrange(*PORTS)
-        if port in _GIVEN or not _is_free(port):
+        if port in _ALLOCATED_PORTS or not _is_free(port):
             continue
-        _GIVEN.add(port)
+        _ALLOCATED_PORTS.add(port)
         return f"127.0.0.1:{port}"
     raise ClusterError("no free port on loopback")
 
--- a/packages/fakes/nutmegchute_fakes/controls.py
+++ b/packages/fakes/nutmegchute_fakes/controls.py
@@ -1,4 +1,4 @@
-"""Stand in for a control replica towards the command line."""
+"""Fake control replica for tests of the command line."""
 
 import threading
 from collections.abc import Callable
@@ -20,11 +20,14 @@
 REQUEST_LOST = "never arrived"
 CONCURRENT_CHANGE = "another operator first"
 
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 class FakeControl:
-    """Serve the real tree over HTTP; faults and state are set by tests."""
+    """Serve a configuration tree over HTTP, with injected faults.
+
+    Tests set the state. Each POST takes the first of ``faults``.
+    """
 
     def __init__(self, operators: dict[str, str]) -> None:
         self.tree = Tree()
@@ -42,12 +45,12 @@
         self._index = 0
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), _handler(self))
         self._thread = threading.Thread(
-            target=self._server.serve_forever, args=(POLL_S,)
+            target=self._server.serve_forever, args=(POLL_INTERVAL_S,)
         )
         self._thread.start()
 
     def change(self, operator: str, team: str, document: Any) -> Answer:
-        """Change a branch past the command line, from its newest state."""
+        """Change a branch on the server itself, from its latest revision."""
         base = self.tree.revisions.get(team, 0)
         self._index += 1
         change = Change(
@@ -61,17 +64,17 @@
 
     @property
     def address(self) -> str:
-        """Give the address it serves at."""
+        """Return the HTTP address."""
         return f"127.0.0.1:{self._server.server_address[1]}"
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         self._server.shutdown()
         self._server.server_close()
         self._thread.join()
 
     def get_page(self, path: str) -> Any:
-        """Return what a GET shows; None where there is no such page."""
+        """Return the answer to a GET; None for an unknown path."""
         pages = {
             "/tree": {
                 "index": self.tree.index,
@@ -99,7 +102,7 @@
         return pages.get(path)
 
     def handle_post(self, path: str, key: str, body: Any) -> tuple[int, Any]:
-        """Take a POST; return the HTTP status and the answer."""
+        """Apply a POST; return the HTTP status and the answer."""
         operator = self.operators.get(key)
         if operator is None:
             return 401, "no operator has this key"
@@ -150,7 +153,7 @@
             self._answer(*control.handle_post(self.path, key, body))
 
         def log_message(self, format: str, *args: Any) -> None:
-            """Keep the test's output clean."""
+            """Log nothing, so that the test output stays short."""
 
         def _answer(self, status: int, value: Any) -> None:
             data = value if isinstance(value, str) else ""
