--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -1,4 +1,4 @@
-"""Measure how calls are placed on shared vms, on virtual time.
+"""Measure how calls are placed on shared vms, in virtual time.
 
 Usage:
   placing [--seeds=N] [--only=TEXT]
@@ -6,17 +6,19 @@
 
 Options:
   --seeds=N    Runs of each load pattern [default: 3].
-  --only=TEXT  Run only patterns whose name has this.
-  --ablate     Switch off each mechanism in turn.
-  --jobs=N     Processes that run patterns side by side [default: 2].
-
-Neighbours on an endpoint's vm stretch work fivefold for 150 ms at a time, a
-call keeps the pace it begins with, the last slot is slow, and each answer
-tells what runs and at which pace. Routers run real balancers and share
-nothing but what control adds up for them. Callers that are refused come back
-when they were told to, and count from their first try. A figure is the share
-of calls answered within their objective, over the whole run and in its worst
-two seconds; "cold" is the most calls that a cold endpoint got in a second.
+  --only=TEXT  Run only patterns whose name contains this.
+  --ablate     Disable each mechanism in turn.
+  --jobs=N     Number of processes that run patterns [default: 2].
+
+Noisy neighbours on an endpoint's vm make work five times as long for 150 ms
+at a time. A call keeps the speed at which it starts, and the last free slot
+is slower. Each answer reports the load and the stretch. Entries run real
+balancers and share only the totals that control computes. Refused callers
+retry after the time in the refusal; their latency counts from the first try.
+
+The columns "in time" and "worst 2 s" are the share of calls answered within
+their objective, in the whole run and in its worst two seconds; "cold" is the
+maximum of calls to a cold endpoint in any second.
 """
 
 import sys
@@ -43,7 +45,7 @@
 
 from .policy import geometric_mean
 from .policy_arrivals import Arrival
-from .policy_baselines import Decider
+from .policy_baselines import LoadBalancer
 from .policy_oracle import Oracle
 from .policy_oracle import OracleEntry
 from .policy_upstreams import Endpoint
@@ -53,37 +55,38 @@
 SERVICE = "prestamos"
 ZONES = ("miraflores", "san-isidro", "surco", "la-molina", "jesus-maria")
 WORK_SIGMA = 0.3
-NEIGHBOURS_SHARE = 0.25
-NEIGHBOURS_FACTOR = 5.0
-NEIGHBOURS_S = 0.15
+NOISY_SHARE = 0.25
+NOISY_FACTOR = 5.0
+NOISY_SPAN_S = 0.15
 LAST_SLOT_FACTOR = 1.7
 PROBES_PER_S = 60.0
-# What a question takes of a slot where it is treated as any call.
-UNTOLD_PROBE_S = 0.006
+# Slot time of a load query at endpoints that handle it as a normal call.
+PROBE_AS_CALL_S = 0.006
 EXTRA_RATIO = 0.2
 EXTRA_FIXED = 60.0
 RUN_S = 12.0
-TAIL_S = 4.0
-WARM_S = 2.0
+GRACE_S = 4.0
+SETTLE_S = 2.0
 EVENT_AT_S = 5.0
-# A cold endpoint: for how long, how much slower, what it declares to bear.
+# A restarted endpoint is cold: how long, how much slower, and the declared
+# calls per second.
 COLD_S = 3.0
 COLD_FACTOR = 2.0
 WARM_UP_PER_S = 6.1
 WARM_UP_OVERAGE = 1.5
-WARM_UP_SLACK = 8.0
+WARM_UP_SLACK_PER_S = 8.0
 WINDOW_S = 2.0
 
 POLICY = "policy"
-BLIND = "asking nobody"
+NO_QUERIES = "asking nobody"
 ORACLE = "oracle"
 
 
 class Deployment:
-    """Describe callers and entries: who is where, and who waits how long.
+    """Describe the entries and callers of each zone, and their times.
 
-    Times are in seconds. ``entries`` and ``callers`` are by zone, callers
-    as a share; ``way_s`` is one way between a caller and its entry.
+    ``entries`` are counts and ``callers`` shares of the calls, by zone.
+    ``one_way_s`` is the one-way delay between a caller and its entry.
     """
 
     __slots__ = (
@@ -91,10 +94,10 @@
         "deadline_s",
         "entries",
         "objective_s",
+        "one_way_s",
         "retries",
         "slots",
         "timeout_s",
-        "way_s",
         "work_s",
     )
 
@@ -107,7 +110,7 @@
         timeout_s: float,
         deadline_s: float,
         work_s: float,
-        way_s: float,
+        one_way_s: float,
         retries: int,
         slots: int = 3,
     ) -> None:
@@ -117,13 +120,13 @@
         self.timeout_s = timeout_s
         self.deadline_s = deadline_s
         self.work_s = work_s
-        self.way_s = way_s
+        self.one_way_s = one_way_s
         self.retries = retries
         self.slots = slots
 
     @property
     def zones(self) -> list[str]:
-        """List the zone of each entry."""
+        """Return the zone of each entry."""
         found = []
         for zone, count in zip(ZONES, self.entries, strict=False):
             found.extend([zone] * count)
@@ -131,50 +134,52 @@
 
     @property
     def weights(self) -> list[float]:
-        """List the share of the calls that each entry gets."""
+        """Return the share of the calls that each entry gets."""
         found = []
         for share, count in zip(self.callers, self.entries, strict=True):
             found.extend([share / count] * count)
         return found
 
 
-# Long work, patient callers, zones alike.
-LOANS = Deployment(
+# Long work, long deadlines, similar zones.
+LONG_WORK = Deployment(
     entries=(6, 5, 5),
     callers=(0.375, 0.3125, 0.3125),
     objective_s=0.3,
     timeout_s=1.2,
     deadline_s=2.5,
     work_s=0.13,
-    way_s=0.008,
+    one_way_s=0.008,
     retries=2,
 )
-# Short work, callers that come back once, a zone of few entries and many
+# Short work, one retry by callers, and a zone with few entries but many
 # callers.
-PARTS = Deployment(
+SHORT_WORK = Deployment(
     entries=(6, 5, 3),
     callers=(0.32, 0.29, 0.39),
     objective_s=0.2,
     timeout_s=0.8,
     deadline_s=0.8,
     work_s=0.065,
-    way_s=0.003,
+    one_way_s=0.003,
     retries=1,
 )
-# Hundreds of entries, each with a call a second and 142 endpoints.
-HUNDREDS = Deployment(
+# Hundreds of entries, each with about one call per second, and 142
+# endpoints.
+MANY_ENTRIES = Deployment(
     entries=(59, 59, 66, 62, 66),
     callers=(0.21, 0.18, 0.23, 0.19, 0.19),
     objective_s=0.8,
     timeout_s=3.0,
     deadline_s=6.0,
     work_s=0.3,
-    way_s=0.008,
+    one_way_s=0.008,
     retries=2,
 )
 
 
-# Over a hundred entries, endpoints with four slots, half of the calls loans.
+# Over a hundred entries, endpoints with four slots, as of a service where half
+# of the calls are loans.
 FOUR_SLOTS = Deployment(
     entries=(45, 48, 42),
     callers=(0.35, 0.35, 0.3),
@@ -182,14 +187,14 @@
     timeout_s=1.6,
     deadline_s=3.2,
     work_s=0.17,
-    way_s=0.003,
+    one_way_s=0.003,
     retries=2,
     slots=4,
 )
 
 
 class SharedEndpoint(Endpoint):
-    """Run jobs on a vm whose neighbours come and go."""
+    """Run jobs on a vm that is slow while its neighbours are noisy."""
 
     def __init__(
         self, name: str, zone: str, random: Random, slots: int
@@ -197,39 +202,39 @@
         super().__init__(name, zone, slots)
         self.shed_share = 0.0
         self.cold_until = 0.0
-        # When calls came while it was cold.
-        self.came: list[float] = []
-        spans = int((RUN_S + TAIL_S) / NEIGHBOURS_S) + 1
-        self._noisy = [
-            random.random() < NEIGHBOURS_SHARE for _ in range(spans)
+        # Arrival times of calls while the endpoint was cold.
+        self.cold_arrivals: list[float] = []
+        spans = int((RUN_S + GRACE_S) / NOISY_SPAN_S) + 1
+        self._noisy_spans = [
+            random.random() < NOISY_SHARE for _ in range(spans)
         ]
-        self._offset_s = random.random() * NEIGHBOURS_S
+        self._offset_s = random.random() * NOISY_SPAN_S
 
     def stretch(self, now: float) -> float:
-        """Tell how much longer than usual work takes."""
-        span = int((now + self._offset_s) / NEIGHBOURS_S)
-        noisy = self._noisy[min(span, len(self._noisy) - 1)]
-        return NEIGHBOURS_FACTOR if noisy else 1.0
+        """Return the stretch that noisy neighbours cause now."""
+        span = int((now + self._offset_s) / NOISY_SPAN_S)
+        noisy = self._noisy_spans[min(span, len(self._noisy_spans) - 1)]
+        return NOISY_FACTOR if noisy else 1.0
 
-    def coldness(self, now: float) -> float:
-        """Give by how much work takes longer after a start."""
+    def cold_slowdown(self, now: float) -> float:
+        """Return the stretch that a recent restart causes now."""
         return COLD_FACTOR if now < self.cold_until else 1.0
 
-    def factor(self, now: float) -> float:
-        """Give by how much a job that begins now is slower than usual."""
+    def slowdown(self, now: float) -> float:
+        """Return the stretch of a job that starts now."""
         last = self.busy + 1 >= self.slots
         factor = self.stretch(now) * (LAST_SLOT_FACTOR if last else 1.0)
-        return factor * self.coldness(now)
+        return factor * self.cold_slowdown(now)
 
-    def end_of(self, work_s: float, now: float) -> float:
-        """Give when a job that has just taken its slot ends."""
+    def completion_time(self, work_s: float, now: float) -> float:
+        """Return when a job that has just taken its slot ends."""
         last = self.busy >= self.slots
         factor = self.stretch(now) * (LAST_SLOT_FACTOR if last else 1.0)
-        return now + work_s * factor * self.coldness(now)
+        return now + work_s * factor * self.cold_slowdown(now)
 
 
 class Caller:
-    """Follow one caller's request through its tries."""
+    """Track one caller's request through its tries."""
 
     __slots__ = ("first_at", "in_time", "served", "tries")
 
@@ -241,78 +246,80 @@
 
 
 class SharedSimulation(Simulation):
-    """Let callers come back, and endpoints tell their pace."""
+    """Add callers that retry and endpoints that report their stretch."""
 
     def __init__(
         self,
-        deciders: list[Decider],
+        balancers: list[LoadBalancer],
         zones: list[str],
         endpoints: list[SharedEndpoint],
         random: Random,
-        oracle: bool,
+        is_oracle: bool,
         deployment: Deployment,
-        tells: bool,
+        reports_load: bool,
     ) -> None:
-        super().__init__(SERVICE, deciders, zones, list(endpoints), 0)
-        self._draw = random
-        self._oracle = oracle
+        super().__init__(SERVICE, balancers, zones, list(endpoints), 0)
+        self._rng = random
+        self._is_oracle = is_oracle
         self._deployment = deployment
-        self._tells = tells
+        self._reports_load = reports_load
         self._rule = _rule(deployment)
-        self._of_arrival: dict[Arrival, Caller] = {}
+        self._callers_by_arrival: dict[Arrival, Caller] = {}
         self.callers: list[Caller] = []
-        self.crossed = 0
+        self.cross_zone_calls = 0
 
     @property
     def zones(self) -> list[str]:
-        """List the zone of each entry."""
+        """Return the zone of each entry."""
         return self._zones
 
-    def offer(self, at: float, entry: int, first_at: float) -> None:
-        """Let a request come whose caller first tried at a time."""
+    def add_caller(self, at: float, entry: int, first_at: float) -> None:
+        """Schedule a request whose caller first tried at ``first_at``."""
         caller = Caller(first_at)
         self.callers.append(caller)
-        self._schedule(at, entry, caller)
+        self._schedule_try(at, entry, caller)
 
-    def _schedule(self, at: float, entry: int, caller: Caller) -> None:
+    def _schedule_try(self, at: float, entry: int, caller: Caller) -> None:
         sigma = WORK_SIGMA
         work_s = self._deployment.work_s * exp(
-            self._draw.gauss(-sigma * sigma / 2, sigma)
+            self._rng.gauss(-sigma * sigma / 2, sigma)
         )
         left_s = caller.first_at + self._deployment.deadline_s - at
         arrival = Arrival(at, entry, "GET", work_s, left_s, (1.0,) * 3)
-        self._of_arrival[arrival] = caller
-        self.at(at, self._arrive, arrival)
+        self._callers_by_arrival[arrival] = caller
+        self.schedule(at, self._arrive, arrival)
 
     def _arrive(self, arrival: Arrival) -> None:
-        caller = self._of_arrival[arrival]
-        decider = self._deciders[arrival.entry]
-        if isinstance(decider, Balancer):
-            call_id, actions = decider.arrive_with_rule(
+        caller = self._callers_by_arrival[arrival]
+        balancer = self._balancers[arrival.entry]
+        if isinstance(balancer, Balancer):
+            call_id, actions = balancer.arrive_with_rule(
                 SERVICE, self._rule, self.now, arrival.deadline_s
             )
         else:
-            # The oracle serves whom it can serve in time.
-            plan = self._deployment
-            until = caller.first_at + plan.objective_s - plan.way_s
-            left_s = until - self.now
-            call_id, actions = decider.arrive(
+            # The oracle serves only calls that can still meet the objective.
+            deployment = self._deployment
+            objective_at = (
+                caller.first_at + deployment.objective_s - deployment.one_way_s
+            )
+            left_s = objective_at - self.now
+            call_id, actions = balancer.arrive(
                 SERVICE, "GET", "/", self.now, max(0.001, left_s)
             )
         self._arrivals[arrival.entry, call_id] = arrival
         self.perform(arrival.entry, actions)
 
-    def _reach(self, job: Job, endpoint: Endpoint) -> None:
+    def _deliver(self, job: Job, endpoint: Endpoint) -> None:
         assert isinstance(endpoint, SharedEndpoint)
         if self.now < endpoint.cold_until:
-            endpoint.came.append(self.now)
-        if self._draw.random() < endpoint.shed_share:
-            self._return(job, endpoint, NOT_RUN, False)
+            endpoint.cold_arrivals.append(self.now)
+        if self._rng.random() < endpoint.shed_share:
+            self._respond(job, endpoint, NOT_RUN, False)
             return
-        self.crossed += endpoint.zone != self._zones[job.entry]
-        super()._reach(job, endpoint)
+        self.cross_zone_calls += endpoint.zone != self._zones[job.entry]
+        super()._deliver(job, endpoint)
 
-    def _reply_at(
+    def _schedule_reply(
         self,
         at: float,
         job: Job,
@@ -322,92 +329,102 @@
         failed: bool = False,
         stretch: float | None = None,
     ) -> None:
-        if not self._tells:
+        if not self._reports_load:
             load = stretch = None
-        super()._reply_at(at, job, endpoint, outcome, load, failed, stretch)
+        super()._schedule_reply(
+            at, job, endpoint, outcome, load, failed, stretch
+        )
 
     def _probe(self, entry: int, name: str) -> None:
         endpoint = self._endpoints[name]
         self.probes.append(self.now)
-        if not self._tells:
-            endpoint.probe_debt_s += UNTOLD_PROBE_S
+        if not self._reports_load:
+            endpoint.probe_debt_s += PROBE_AS_CALL_S
         delay_s = self._delay(entry, endpoint)
-        self.at(self.now + delay_s, self._look, entry, endpoint, delay_s)
+        self.schedule(
+            self.now + delay_s, self._read_load, entry, endpoint, delay_s
+        )
 
-    def _look(self, entry: int, endpoint: Endpoint, delay_s: float) -> None:
+    def _read_load(
+        self, entry: int, endpoint: Endpoint, delay_s: float
+    ) -> None:
         if endpoint.dead:
             return
         load: int | None = None
         stretch: float | None = None
-        if self._tells:
+        if self._reports_load:
             load = endpoint.load(self.now)
             stretch = endpoint.stretch(self.now)
         at = self.now + delay_s
-        self.at(at, self._tell, entry, endpoint.name, load, stretch)
+        self.schedule(
+            at, self._receive_load, entry, endpoint.name, load, stretch
+        )
 
-    def _tell(
+    def _receive_load(
         self, entry: int, name: str, load: int | None, stretch: float | None
     ) -> None:
-        decider = self._deciders[entry]
-        if isinstance(decider, Balancer):
-            actions = decider.record_probe(
+        balancer = self._balancers[entry]
+        if isinstance(balancer, Balancer):
+            actions = balancer.record_probe(
                 SERVICE, name, load, 0.002, self.now, stretch, True
             )
             self.perform(entry, actions)
 
-    def _conclude(self, entry: int, action: CallAction) -> None:
+    def _complete(self, entry: int, action: CallAction) -> None:
         arrival = self._arrivals.pop((entry, action.call_id))
-        caller = self._of_arrival.pop(arrival)
-        plan = self._deployment
+        caller = self._callers_by_arrival.pop(arrival)
+        deployment = self._deployment
         if isinstance(action, Finish):
             caller.served = True
-            elapsed_s = self.now + plan.way_s - caller.first_at
-            caller.in_time = elapsed_s <= plan.objective_s
+            elapsed_s = self.now + deployment.one_way_s - caller.first_at
+            caller.in_time = elapsed_s <= deployment.objective_s
             return
-        if not isinstance(action, Refuse) or caller.tries > plan.retries:
+        if not isinstance(action, Refuse) or caller.tries > deployment.retries:
             return
-        if self._oracle:
+        if self._is_oracle:
             return
         caller.tries += 1
-        # On a new connection, which takes a way there and back to open.
-        at = self.now + 4 * plan.way_s + action.retry_after_s
-        if at + plan.work_s < caller.first_at + plan.deadline_s:
-            self._schedule(at, entry, caller)
+        # The retry opens a new connection, which takes a round trip.
+        at = self.now + 4 * deployment.one_way_s + action.retry_after_s
+        if at + deployment.work_s < caller.first_at + deployment.deadline_s:
+            self._schedule_try(at, entry, caller)
 
 
 class Pattern:
-    """Describe a load and what happens to the endpoints."""
+    """Define a load and the faults injected into the endpoints.
+
+    With ``outage_s`` callers have waited that long for a system without
+    power. Their calls arrive all at once, at entries without any data.
+    ``reports_load`` says whether answers report the load and the stretch.
+    """
 
     __slots__ = (
-        "act",
-        "counts",
         "deployment",
+        "endpoints_per_zone",
+        "inject_faults",
         "name",
+        "outage_s",
         "per_s",
-        "returning_s",
-        "tells",
+        "reports_load",
     )
 
     def __init__(
         self,
         name: str,
         per_s: Callable[[float], float],
-        counts: tuple[int, ...] = (6, 7, 4),
-        act: Callable[[SharedSimulation], None] | None = None,
-        returning_s: float = 0.0,
-        deployment: Deployment = LOANS,
-        tells: bool = True,
+        endpoints_per_zone: tuple[int, ...] = (6, 7, 4),
+        inject_faults: Callable[[SharedSimulation], None] | None = None,
+        outage_s: float = 0.0,
+        deployment: Deployment = LONG_WORK,
+        reports_load: bool = True,
     ) -> None:
-        # Whether answers tell what runs at an endpoint and at which pace.
-        self.tells = tells
+        self.reports_load = reports_load
         self.deployment = deployment
         self.name = name
         self.per_s = per_s
-        self.counts = counts
-        self.act = act
-        # The calls of so long come all at once, from callers that have
-        # waited for a system without power; entries know nothing yet.
-        self.returning_s = returning_s
+        self.endpoints_per_zone = endpoints_per_zone
+        self.inject_faults = inject_faults
+        self.outage_s = outage_s
 
 
 def _rule(deployment: Deployment) -> Rule:
@@ -423,43 +440,47 @@
     return Route("lookup", document, 0.0).rule
 
 
-def _shed(simulation: SharedSimulation) -> None:
+def _shed_calls(simulation: SharedSimulation) -> None:
     for endpoint in simulation.endpoints.values():
         assert isinstance(endpoint, SharedEndpoint)
         endpoint.shed_share = 0.45
 
 
-def _halve(simulation: SharedSimulation) -> None:
+def _kill_half(simulation: SharedSimulation) -> None:
     names = list(simulation.endpoints)[::2]
     simulation.kill(names)
 
 
-def _lose_third(simulation: SharedSimulation) -> None:
+def _kill_third(simulation: SharedSimulation) -> None:
     names = list(simulation.endpoints)[::3]
     simulation.kill(names)
 
 
-def _return_cold(simulation: SharedSimulation) -> None:
-    """Bring a third of the endpoints, of one zone, back cold at once."""
-    live = []
+def _restart_zone_cold(simulation: SharedSimulation) -> None:
+    """Restart all endpoints of one zone, about a third, cold at once."""
+    announcements = []
     for endpoint in simulation.endpoints.values():
         assert isinstance(endpoint, SharedEndpoint)
-        back = endpoint.zone == ZONES[0]
-        if back:
+        restarted = endpoint.zone == ZONES[0]
+        if restarted:
             endpoint.cold_until = simulation.now + COLD_S
-        live.append(_announcement(endpoint, 2 if back else 1))
+        announcements.append(
+            _build_announcement(endpoint, 2 if restarted else 1)
+        )
     for entry in range(len(simulation.zones)):
-        simulation.announce(entry, live)
+        simulation.announce(entry, announcements)
 
 
-def _announcement(endpoint: SharedEndpoint, start: int) -> Announcement:
+def _build_announcement(
+    endpoint: SharedEndpoint, incarnation: int
+) -> Announcement:
     return Announcement(
         SERVICE,
         endpoint.name,
         endpoint.zone,
         endpoint.slots,
-        start,
-        cold_s=COLD_S if start > 1 else 0.0,
+        incarnation,
+        cold_s=COLD_S if incarnation > 1 else 0.0,
     )
 
 
@@ -469,60 +490,65 @@
     Pattern(
         "burst", lambda now: 170.0 if 0 < now - EVENT_AT_S < 3.0 else 100.0
     ),
-    Pattern("half dark", lambda _: 90.0, act=_halve),
-    Pattern("all shed 45 in 100", lambda _: 90.0, act=_shed),
-    Pattern("power comes back", lambda _: 110.0, returning_s=1.6),
-    Pattern("nothing told", lambda _: 90.0, tells=False),
+    Pattern("half dark", lambda _: 90.0, inject_faults=_kill_half),
+    Pattern("all shed 45 in 100", lambda _: 90.0, inject_faults=_shed_calls),
+    Pattern("power comes back", lambda _: 110.0, outage_s=1.6),
+    Pattern("nothing told", lambda _: 90.0, reports_load=False),
     Pattern(
-        "nothing told, half dark", lambda _: 70.0, act=_halve, tells=False
+        "nothing told, half dark",
+        lambda _: 70.0,
+        inject_faults=_kill_half,
+        reports_load=False,
     ),
     Pattern(
         "nothing told, unequal",
         lambda _: 170.0,
         (5, 6, 5),
-        deployment=PARTS,
-        tells=False,
+        deployment=SHORT_WORK,
+        reports_load=False,
+    ),
+    Pattern(
+        "unequal zones", lambda _: 200.0, (5, 6, 5), deployment=SHORT_WORK
     ),
-    Pattern("unequal zones", lambda _: 200.0, (5, 6, 5), deployment=PARTS),
     Pattern(
         "unequal burst",
         lambda now: 270.0 if 0 < now - EVENT_AT_S < 3.0 else 190.0,
         (5, 6, 5),
-        deployment=PARTS,
+        deployment=SHORT_WORK,
     ),
     Pattern(
         "unequal, all shed",
         lambda _: 190.0,
         (5, 6, 5),
-        _shed,
-        deployment=PARTS,
+        _shed_calls,
+        deployment=SHORT_WORK,
     ),
     Pattern(
         "unequal, a third dark",
         lambda _: 190.0,
         (5, 6, 5),
-        _lose_third,
-        deployment=PARTS,
+        _kill_third,
+        deployment=SHORT_WORK,
     ),
     Pattern(
         "unequal, dark burst",
         lambda now: 260.0 if 0 < now - EVENT_AT_S < 3.0 else 190.0,
         (5, 6, 5),
-        _lose_third,
-        deployment=PARTS,
+        _kill_third,
+        deployment=SHORT_WORK,
     ),
     Pattern(
         "unequal power",
         lambda _: 200.0,
         (5, 6, 5),
-        returning_s=0.7,
-        deployment=PARTS,
+        outage_s=0.7,
+        deployment=SHORT_WORK,
     ),
     Pattern(
         "four slots, power",
         lambda _: 500.0,
         (28, 24, 22),
-        returning_s=2.0,
+        outage_s=2.0,
         deployment=FOUR_SLOTS,
     ),
     Pattern(
@@ -535,60 +561,62 @@
         "four slots, third dark",
         lambda _: 550.0,
         (28, 24, 22),
-        _lose_third,
+        _kill_third,
         deployment=FOUR_SLOTS,
     ),
     Pattern(
         "four slots, zone back cold",
         lambda _: 650.0,
         (28, 24, 22),
-        _return_cold,
+        _restart_zone_cold,
         deployment=FOUR_SLOTS,
     ),
     Pattern(
         "hundreds",
         lambda _: 320.0,
         (28, 32, 25, 30, 27),
-        deployment=HUNDREDS,
+        deployment=MANY_ENTRIES,
     ),
     Pattern(
         "hundreds, burst",
         lambda now: 560.0 if 0 < now - EVENT_AT_S < 3.0 else 320.0,
         (28, 32, 25, 30, 27),
-        deployment=HUNDREDS,
+        deployment=MANY_ENTRIES,
     ),
     Pattern(
         "hundreds, half dark",
         lambda _: 320.0,
         (28, 32, 25, 30, 27),
-        _halve,
-        deployment=HUNDREDS,
+        _kill_half,
+        deployment=MANY_ENTRIES,
     ),
 ]
 
 
-def _policy(way: str) -> Policy:
-    if way == BLIND:
+def _build_policy(strategy: str) -> Policy:
+    if strategy == NO_QUERIES:
         return Policy("inquiries")
-    return Policy() if way == POLICY else Policy(way)
+    return Policy() if strategy == POLICY else Policy(strategy)
 
 
-def build(
-    way: str, seed: int, oracle: Oracle, deployment: Deployment
-) -> list[Decider]:
-    """Build the routers of a run."""
-    deciders: list[Decider] = []
+def build_balancers(
+    strategy: str, seed: int, oracle: Oracle, deployment: Deployment
+) -> list[LoadBalancer]:
+    """Build the balancer of each entry."""
+    balancers: list[LoadBalancer] = []
     weights = deployment.weights
     document = {"warm_up_per_s": WARM_UP_PER_S, "warm_up_s": COLD_S}
     group = group_of(
         {str(entry): zone for entry, zone in enumerate(deployment.zones)}
     )
     for entry, zone in enumerate(deployment.zones):
-        if way == ORACLE:
-            deciders.append(OracleEntry(oracle, entry))
+        if strategy == ORACLE:
+            balancers.append(OracleEntry(oracle, entry))
             continue
-        balancer = Balancer(seed * 100 + entry, zone, _policy(way), str(entry))
-        balancer.warm_ups.set_margin(WARM_UP_OVERAGE, WARM_UP_SLACK)
+        balancer = Balancer(
+            seed * 100 + entry, zone, _build_policy(strategy), str(entry)
+        )
+        balancer.warm_ups.set_margin(WARM_UP_OVERAGE, WARM_UP_SLACK_PER_S)
         balancer.warm_ups.update_group(group, 0.0)
         balancer.configure({SERVICE: Service(SERVICE, document)}, 0.0)
         limit = ExtraLimit(EXTRA_RATIO, EXTRA_FIXED)
@@ -597,15 +625,15 @@
         shares.reported = weights[entry]
         shares.set_total(1.0, len(weights))
         balancer.limit_inquiries(PROBES_PER_S, shares.share(len(weights)))
-        deciders.append(balancer)
-    return deciders
+        balancers.append(balancer)
+    return balancers
 
 
-def run(pattern: Pattern, way: str, seed: int) -> tuple[float, ...]:
-    """Play a pattern; return the figures."""
+def run(pattern: Pattern, strategy: str, seed: int) -> tuple[float, ...]:
+    """Simulate a pattern once and return its figures."""
     random = Random(seed)
     endpoints = []
-    for zone, count in zip(ZONES, pattern.counts, strict=False):
+    for zone, count in zip(ZONES, pattern.endpoints_per_zone, strict=False):
         for number in range(count):
             name = f"{zone}-{number}:1"
             endpoints.append(
@@ -615,105 +643,111 @@
     deployment = pattern.deployment
     zones = deployment.zones
     simulation = SharedSimulation(
-        build(way, seed, oracle, deployment),
+        build_balancers(strategy, seed, oracle, deployment),
         zones,
         endpoints,
         random,
-        way == ORACLE,
+        strategy == ORACLE,
         deployment,
-        pattern.tells,
+        pattern.reports_load,
     )
-    if way == ORACLE:
-        oracle.watch(simulation)
-    live = [_announcement(one, 1) for one in endpoints]
+    if strategy == ORACLE:
+        oracle.attach(simulation)
+    announcements = [_build_announcement(one, 1) for one in endpoints]
     for entry in range(len(zones)):
-        simulation.announce(entry, live)
-    if pattern.act is not None:
-        simulation.at(EVENT_AT_S, pattern.act, simulation)
-    _offer(pattern, simulation, Random(seed + 1))
-    simulation.run([], RUN_S + TAIL_S)
-    return _figures(pattern, simulation)
+        simulation.announce(entry, announcements)
+    if pattern.inject_faults is not None:
+        simulation.schedule(EVENT_AT_S, pattern.inject_faults, simulation)
+    _schedule_callers(pattern, simulation, Random(seed + 1))
+    simulation.run([], RUN_S + GRACE_S)
+    return _summarize(pattern, simulation)
 
 
-def _offer(
+def _schedule_callers(
     pattern: Pattern, simulation: SharedSimulation, random: Random
 ) -> None:
     weights = pattern.deployment.weights
-    now = -pattern.returning_s
-    most = max(pattern.per_s(at / 10) for at in range(int(RUN_S * 10)))
+    now = -pattern.outage_s
+    peak = max(pattern.per_s(at / 10) for at in range(int(RUN_S * 10)))
     while now < RUN_S:
-        now += random.expovariate(most)
-        if random.random() * most > pattern.per_s(now):
+        now += random.expovariate(peak)
+        if random.random() * peak > pattern.per_s(now):
             continue
-        # Those that could not connect try again within a tenth of a second.
+        # Callers without a connection retry within 0.1 s of the start.
         at = now if now > 0 else random.random() * 0.1
         entry = random.choices(range(len(weights)), weights)[0]
-        simulation.offer(at, entry, now)
+        simulation.add_caller(at, entry, now)
 
 
-def _figures(
+def _summarize(
     pattern: Pattern, simulation: SharedSimulation
 ) -> tuple[float, ...]:
-    begin_s = 0.0 if pattern.returning_s else WARM_S
-    counted = [
-        one for one in simulation.callers if begin_s <= one.first_at < RUN_S
+    start_s = 0.0 if pattern.outage_s else SETTLE_S
+    measured = [
+        one for one in simulation.callers if start_s <= one.first_at < RUN_S
     ]
     windows: dict[int, list[bool]] = {}
-    for one in counted:
+    for one in measured:
         windows.setdefault(int(one.first_at / WINDOW_S), []).append(
             one.in_time
         )
     worst = min(sum(ones) / len(ones) for ones in windows.values())
-    calls = len(counted)
+    calls = len(measured)
     return (
-        sum(one.in_time for one in counted) / calls,
+        sum(one.in_time for one in measured) / calls,
         worst,
-        sum(one.served for one in counted) / calls,
-        simulation.crossed / calls,
+        sum(one.served for one in measured) / calls,
+        simulation.cross_zone_calls / calls,
         len(simulation.probes) / calls,
-        float(_most_in_a_second(simulation)),
+        float(_max_cold_per_s(simulation)),
     )
 
 
-def _most_in_a_second(simulation: SharedSimulation) -> int:
-    """Count the most calls that came to a cold endpoint in any second."""
-    most = 0
+def _max_cold_per_s(simulation: SharedSimulation) -> int:
+    """Return the maximum of calls to a cold endpoint in any second."""
+    maximum = 0
     for endpoint in simulation.endpoints.values():
         assert isinstance(endpoint, SharedEndpoint)
-        for first, at in enumerate(endpoint.came):
-            later = [one for one in endpoint.came[first:] if one <= at + 1.0]
-            most = max(most, len(later))
-    return most
-
-
-def _run_all(job: tuple[str, str, range]) -> list[float]:
-    """Give a pattern's mean figures over seeds; the pattern by name."""
-    name, way, seeds = job
+        for first, at in enumerate(endpoint.cold_arrivals):
+            later = [
+                one
+                for one in endpoint.cold_arrivals[first:]
+                if one <= at + 1.0
+            ]
+            maximum = max(maximum, len(later))
+    return maximum
+
+
+def _mean_figures(task: tuple[str, str, range]) -> list[float]:
+    """Return the mean figures of the named pattern over all seeds."""
+    name, strategy, seeds = task
     pattern = next(one for one in PATTERNS if one.name == name)
-    runs = [run(pattern, way, seed) for seed in seeds]
+    runs = [run(pattern, strategy, seed) for seed in seeds]
     return [sum(ones) / len(ones) for ones in zip(*runs, strict=True)]
 
 
 def ablate(names: list[str], seeds: range, jobs: int) -> None:
-    """Show what each pattern loses without each mechanism."""
-    ways = [POLICY, *Policy.__slots__]
-    plan = [(name, way, seeds) for way in ways for name in names]
+    """Print what each pattern loses without each mechanism."""
+    strategies = [POLICY, *Policy.__slots__]
+    tasks = [
+        (name, strategy, seeds) for strategy in strategies for name in names
+    ]
     with ProcessPoolExecutor(jobs) as pool:
-        found = dict(zip(plan, pool.map(_run_all, plan), strict=True))
+        found = dict(zip(tasks, pool.map(_mean_figures, tasks), strict=True))
     print("in time and worst 2 s with all, then what each loses without")
     for name in names:
-        whole = found[name, POLICY, seeds]
-        print(f"\n{name}: {whole[0]:.3f} {whole[1]:.3f}")
-        for way in ways[1:]:
-            figures = found[name, way, seeds]
+        full = found[name, POLICY, seeds]
+        print(f"\n{name}: {full[0]:.3f} {full[1]:.3f}")
+        for strategy in strategies[1:]:
+            figures = found[name, strategy, seeds]
             print(
-                f"    {way:12}{whole[0] - figures[0]:+8.3f}"
-                f"{whole[1] - figures[1]:+8.3f}"
+                f"    {strategy:12}{full[0] - figures[0]:+8.3f}"
+                f"{full[1] - figures[1]:+8.3f}"
             )
 
 
 def main() -> int:
-    """Run what the arguments ask for."""
+    """Run the command."""
     arguments: dict[str, Any] = docopt(__doc__)
     seeds = range(1, int(arguments["--seeds"]) + 1)
     text = arguments["--only"] or ""
@@ -730,13 +764,13 @@
         if text not in pattern.name:
             continue
         worst = {}
-        for way in (BLIND, POLICY, ORACLE):
-            means = _run_all((pattern.name, way, seeds))
-            worst[way] = means[1]
+        for strategy in (NO_QUERIES, POLICY, ORACLE):
+            means = _mean_figures((pattern.name, strategy, seeds))
+            worst[strategy] = means[1]
             print(
-                f"{pattern.name:20}{way:14}{means[0]:9.3f}{means[1]:11.3f}"
-                f"{means[2]:9.3f}{means[3]:9.2f}{means[4]:7.1f}"
-                f"{means[5]:6.1f}"
+                f"{pattern.name:20}{strategy:14}{means[0]:9.3f}"
+                f"{means[1]:11.3f}{means[2]:9.3f}{means[3]:9.2f}"
+                f"{means[4]:7.1f}{means[5]:6.1f}"
             )
         ratios.append(worst[POLICY] / worst[ORACLE])
     print(
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,19 +1,19 @@
-"""Measure the decisions under load, on virtual time.
+"""Compare load balancing policies under load, in virtual time.
 
 Usage:
   policy [--seeds=N] [--processes=N] [--only=TEXT] [--switch-off]
 
 Options:
   --seeds=N      Runs per service and scenario [default: 1].
-  --processes=N  Processes at once [default: 3].
-  --only=TEXT    Run only scenarios whose name has this.
-  --switch-off   Run the policy with each mechanism off in turn.
-
-Each of 16 entries runs a real balancer; they share nothing. All ways get
-the same calls, so a row compares like with like. Latencies are those of
-lookups and actions, from arrival at the entry to the answer; a call not
-answered counts as its deadline, but for the overload, where a third
-cannot be answered by anyone and the goodput tells.
+  --processes=N  Number of worker processes [default: 3].
+  --only=TEXT    Run only scenarios whose name contains this.
+  --switch-off   Run the policy with each mechanism disabled in turn.
+
+Each of 16 entries runs a real balancer; they share no state. All strategies
+get the same calls. Latencies are those of lookups and actions, from arrival
+at the entry to the answer. A call without an answer in time counts with its
+deadline as latency. The overload scenario leaves these calls out: no strategy
+can answer a third of its calls, so goodput is the figure to compare.
 """
 
 import sys
@@ -31,55 +31,61 @@
 
 from . import policy_costs
 from .policy_baselines import BASELINES
-from .policy_baselines import Decider
+from .policy_baselines import LoadBalancer
 from .policy_baselines import Probing
 from .policy_oracle import Oracle
 from .policy_oracle import OracleEntry
 from .policy_scenarios import BACKGROUND
 from .policy_scenarios import ENTRIES
+from .policy_scenarios import FaultInjector
 from .policy_scenarios import OVERLOAD
 from .policy_scenarios import PROBE_S
+from .policy_scenarios import PROFILES
 from .policy_scenarios import Scenario
 from .policy_scenarios import SCENARIOS
-from .policy_scenarios import Site
-from .policy_scenarios import SITES
-from .policy_scenarios import WARM_S
-from .policy_scenarios import World
+from .policy_scenarios import ServiceProfile
+from .policy_scenarios import SETTLE_S
 from .policy_upstreams import Simulation
 
 POLICY = "policy"
 PROBING = "probing"
 ORACLE = "oracle"
-WAYS = [*BASELINES, PROBING, POLICY, ORACLE]
-TAIL_S = 8.0
-USERS = {
+STRATEGIES = [*BASELINES, PROBING, POLICY, ORACLE]
+# Lets calls end after the last arrival.
+GRACE_S = 8.0
+ORGANISATIONS = {
     "Red Andina": ("prestamos", "catalogo"),
     "Stillekilde": ("catalog", "player"),
 }
-PERCENTS = (50.0, 99.0, 99.9)
+PERCENTILES = (50.0, 99.0, 99.9)
 
 
 class Task:
-    """Name one run."""
+    """Describe one run."""
 
     def __init__(
-        self, way: str, site: str, scenario: int, seed: int, off: str = ""
+        self,
+        strategy: str,
+        profile: str,
+        scenario: int,
+        seed: int,
+        disabled: str = "",
     ) -> None:
-        self.way = way
-        self.site = site
+        self.strategy = strategy
+        self.profile = profile
         self.scenario = scenario
         self.seed = seed
-        self.off = off
+        self.disabled = disabled
 
 
-class Outcome:
-    """Hold what one run or several gave."""
+class RunResult:
+    """Hold the measurements of one or more runs."""
 
     def __init__(self) -> None:
         self.latencies: list[float] = []
         self.calls = 0
         self.answered = 0
-        self.extra = 0
+        self.extra_sends = 0
         self.in_time = 0
         self.capacity = 0.0
         self.probe_peak = 0.0
@@ -88,12 +94,12 @@
         self.background_in_time = 0
         self.runs = 0
 
-    def add(self, other: "Outcome") -> None:
-        """Take in another run."""
+    def add(self, other: "RunResult") -> None:
+        """Add the measurements of other runs."""
         self.latencies.extend(other.latencies)
         self.calls += other.calls
         self.answered += other.answered
-        self.extra += other.extra
+        self.extra_sends += other.extra_sends
         self.in_time += other.in_time
         self.capacity += other.capacity
         self.probe_peak = max(self.probe_peak, other.probe_peak)
@@ -103,145 +109,160 @@
         self.runs += other.runs
 
     def percentile_ms(self, percent: float) -> float:
-        """Give a percentile of the latencies, in milliseconds."""
+        """Return a percentile of the latencies, in milliseconds."""
         ordered = sorted(self.latencies)
         return ordered[int(len(ordered) * percent / 100)] * 1000
 
     @property
     def mean_cost(self) -> float:
-        """Give the share of the slots' time that probes took."""
+        """Return the share of slot time used by probes."""
         return self.probe_cost / self.runs
 
     @property
     def extra_share(self) -> float:
-        """Give the retries and hedges per call."""
-        return self.extra / self.calls
+        """Return the retries and hedges per call."""
+        return self.extra_sends / self.calls
 
     @property
     def background_share(self) -> float:
-        """Give the share of background calls answered in time."""
+        """Return the share of background calls answered in time."""
         return self.background_in_time / self.background
 
     @property
     def goodput(self) -> float:
-        """Give in-time answers over what the slots could get through."""
+        """Return in-time answers as a share of what the slots can serve."""
         return self.in_time / self.capacity
 
 
-def build(task: Task, site: Site) -> list[Decider]:
-    """Build the entries of a run."""
-    deciders: list[Decider] = []
+def build_balancers(task: Task, profile: ServiceProfile) -> list[LoadBalancer]:
+    """Build the balancer of each entry."""
+    balancers: list[LoadBalancer] = []
     oracle = Oracle()
     for entry in range(ENTRIES):
         seed = task.seed * 1000 + entry
-        zone = site.zones[entry % 3]
-        if task.way == ORACLE:
-            deciders.append(OracleEntry(oracle, entry))
-        elif task.way == PROBING:
-            budget = ProbeBudget(site.probes_per_s, ENTRIES)
-            deciders.append(Probing(Random(seed), budget))
-        elif task.way == POLICY:
-            policy = Policy(task.off) if task.off else Policy()
+        zone = profile.zones[entry % 3]
+        if task.strategy == ORACLE:
+            balancers.append(OracleEntry(oracle, entry))
+        elif task.strategy == PROBING:
+            budget = ProbeBudget(profile.probes_per_s, ENTRIES)
+            balancers.append(Probing(Random(seed), budget))
+        elif task.strategy == POLICY:
+            policy = Policy(task.disabled) if task.disabled else Policy()
             balancer = Balancer(seed, zone, policy)
-            document = {"services": {site.service: site.document()}}
+            document = {"services": {profile.service: profile.document()}}
             balancer.configure(read_services({"team": document}), 0.0)
-            deciders.append(balancer)
+            balancers.append(balancer)
         else:
-            deciders.append(BASELINES[task.way](Random(seed)))
-    return deciders
+            balancers.append(BASELINES[task.strategy](Random(seed)))
+    return balancers
 
 
-def run(task: Task) -> Outcome:
-    """Run one task."""
-    site = SITES[task.site]
+def run(task: Task) -> RunResult:
+    """Simulate one run."""
+    profile = PROFILES[task.profile]
     scenario = SCENARIOS[task.scenario]
-    deciders = build(task, site)
-    zones = [site.zones[entry % 3] for entry in range(ENTRIES)]
+    balancers = build_balancers(task, profile)
+    zones = [profile.zones[entry % 3] for entry in range(ENTRIES)]
     simulation = Simulation(
-        site.service, deciders, zones, site.endpoints(), task.seed
+        profile.service, balancers, zones, profile.endpoints(), task.seed
     )
-    first = deciders[0]
+    first = balancers[0]
     if isinstance(first, OracleEntry):
-        first.oracle.watch(simulation)
-    world = World(site, simulation, Random(task.seed + 77))
-    scenario.begin(world)
-    arrivals = scenario.arrivals(site, task.seed)
-    simulation.run(arrivals, scenario.run_s + TAIL_S)
-    return judge(simulation, scenario, site)
-
-
-def judge(simulation: Simulation, scenario: Scenario, site: Site) -> Outcome:
-    """Draw the figures from a run."""
-    outcome = Outcome()
-    outcome.runs = 1
-    for arrival, ended_at, answered in simulation.ends:
+        first.oracle.attach(simulation)
+    injector = FaultInjector(profile, simulation, Random(task.seed + 77))
+    scenario.start(injector)
+    arrivals = scenario.arrivals(profile, task.seed)
+    simulation.run(arrivals, scenario.run_s + GRACE_S)
+    return measure(simulation, scenario, profile)
+
+
+def measure(
+    simulation: Simulation, scenario: Scenario, profile: ServiceProfile
+) -> RunResult:
+    """Compute the measurements of a run."""
+    result = RunResult()
+    result.runs = 1
+    for arrival, ended_at, answered in simulation.completions:
         elapsed_s = ended_at - arrival.at
         in_time = answered and elapsed_s <= arrival.deadline_s
-        if in_time and WARM_S <= ended_at < scenario.run_s:
-            outcome.in_time += 1
-        if arrival.at < WARM_S:
+        if in_time and SETTLE_S <= ended_at < scenario.run_s:
+            result.in_time += 1
+        if arrival.at < SETTLE_S:
             continue
-        outcome.calls += 1
-        outcome.answered += in_time
+        result.calls += 1
+        result.answered += in_time
         if arrival.method == BACKGROUND:
-            outcome.background += 1
-            outcome.background_in_time += in_time
+            result.background += 1
+            result.background_in_time += in_time
             continue
         if in_time:
-            outcome.latencies.append(elapsed_s)
+            result.latencies.append(elapsed_s)
         elif scenario.name != OVERLOAD:
-            outcome.latencies.append(arrival.deadline_s)
-    outcome.extra = len(simulation.sends) - simulation.first_sends
-    outcome.capacity = site.capacity * (scenario.run_s - WARM_S)
+            result.latencies.append(arrival.deadline_s)
+    result.extra_sends = len(simulation.sends) - simulation.first_sends
+    result.capacity = profile.capacity * (scenario.run_s - SETTLE_S)
     seconds = Counter(int(at) for at in simulation.probes)
     busiest = max(seconds.values(), default=0)
-    outcome.probe_peak = busiest / site.probes_per_s
-    slots = site.count * site.slots
+    result.probe_peak = busiest / profile.probes_per_s
+    slots = profile.count * profile.slots
     cost = len(simulation.probes) * PROBE_S / slots
-    outcome.probe_cost = cost / (scenario.run_s + TAIL_S)
-    return outcome
+    result.probe_cost = cost / (scenario.run_s + GRACE_S)
+    return result
 
 
-def gather(
+def run_all(
     tasks: list[Task], processes: int
-) -> dict[tuple[str, str, int, str], Outcome]:
-    """Run all tasks; add up by way, user, scenario and switch."""
-    found: dict[tuple[str, str, int, str], Outcome] = {}
-    users = {site: user for user, sites in USERS.items() for site in sites}
+) -> dict[tuple[str, str, int, str], RunResult]:
+    """Run all tasks.
+
+    Results are added up by strategy, organisation, scenario and disabled
+    mechanism.
+    """
+    totals: dict[tuple[str, str, int, str], RunResult] = {}
+    org_of = {
+        profile: org
+        for org, services in ORGANISATIONS.items()
+        for profile in services
+    }
     with Pool(processes) as pool:
-        outcomes = pool.map(run, tasks, chunksize=1)
-    for task, outcome in zip(tasks, outcomes, strict=True):
-        key = (task.way, users[task.site], task.scenario, task.off)
-        found.setdefault(key, Outcome()).add(outcome)
-    return found
+        results = pool.map(run, tasks, chunksize=1)
+    for task, result in zip(tasks, results, strict=True):
+        key = (
+            task.strategy,
+            org_of[task.profile],
+            task.scenario,
+            task.disabled,
+        )
+        totals.setdefault(key, RunResult()).add(result)
+    return totals
 
 
 def geometric_mean(values: list[float]) -> float:
-    """Give the geometric mean."""
+    """Return the geometric mean, NaN without values."""
     if not values:
         return float("nan")
     return exp(sum(log(value) for value in values) / len(values))
 
 
-def row(outcome: Outcome) -> str:
-    """Format one outcome."""
-    half, high, highest = (outcome.percentile_ms(one) for one in PERCENTS)
+def format_row(result: RunResult) -> str:
+    """Format the measurements as a table row."""
+    p50, p99, p999 = (result.percentile_ms(percent) for percent in PERCENTILES)
     return (
-        f"{half:8.1f} {high:8.1f} {highest:8.1f} "
-        f"{100 * outcome.answered / outcome.calls:8.2f} "
-        f"{outcome.goodput:8.3f} "
-        f"{100 * outcome.extra_share:7.2f} "
-        f"{outcome.probe_peak:6.2f} {100 * outcome.mean_cost:6.2f}"
+        f"{p50:8.1f} {p99:8.1f} {p999:8.1f} "
+        f"{100 * result.answered / result.calls:8.2f} "
+        f"{result.goodput:8.3f} "
+        f"{100 * result.extra_share:7.2f} "
+        f"{result.probe_peak:6.2f} {100 * result.mean_cost:6.2f}"
     )
 
 
-def priorities(outcome: Outcome) -> str:
-    """Format the shares answered in time by priority."""
-    urgent = outcome.calls - outcome.background
-    in_time = outcome.answered - outcome.background_in_time
+def format_shares(result: RunResult) -> str:
+    """Format the shares of calls answered in time, by priority."""
+    urgent = result.calls - result.background
+    in_time = result.answered - result.background_in_time
     return (
         f"in time: lookups and actions {100 * in_time / urgent:5.1f} %, "
-        f"background {100 * outcome.background_share:5.1f} %"
+        f"background {100 * result.background_share:5.1f} %"
     )
 
 
@@ -252,37 +273,41 @@
 
 
 def compare(seeds: int, processes: int, chosen: list[int]) -> None:
-    """Run every way through every scenario and print the figures."""
+    """Run every strategy in the chosen scenarios and print the results."""
     tasks = []
-    for number in chosen:
-        for site in SITES:
+    for index in chosen:
+        for profile in PROFILES:
             for seed in range(1, seeds + 1):
-                for way in WAYS:
-                    tasks.append(Task(way, site, number, seed))
-    found = gather(tasks, processes)
+                for strategy in STRATEGIES:
+                    tasks.append(Task(strategy, profile, index, seed))
+    totals = run_all(tasks, processes)
     ratios: dict[str, list[float]] = {"power of two": [], ORACLE: []}
     peak = 0.0
     goodputs = []
-    for number in chosen:
-        scenario = SCENARIOS[number]
-        for user in USERS:
-            print(f"\n{scenario.name}, {user}")
+    for index in chosen:
+        scenario = SCENARIOS[index]
+        for org in ORGANISATIONS:
+            print(f"\n{scenario.name}, {org}")
             print(f"{'':16}{HEADER}")
-            for way in WAYS:
-                print(f"{way:16}{row(found[way, user, number, ''])}")
-            own = found[POLICY, user, number, ""]
+            for strategy in STRATEGIES:
+                print(
+                    f"{strategy:16}"
+                    f"{format_row(totals[strategy, org, index, ''])}"
+                )
+            own = totals[POLICY, org, index, ""]
             peak = max(peak, own.probe_peak)
             if scenario.name == OVERLOAD:
                 goodputs.append(own.goodput)
-                for way in WAYS:
+                for strategy in STRATEGIES:
                     print(
-                        f"{way:16}{priorities(found[way, user, number, ''])}"
+                        f"{strategy:16}"
+                        f"{format_shares(totals[strategy, org, index, ''])}"
                     )
                 continue
-            for way, values in ratios.items():
-                other = found[way, user, number, ""].percentile_ms(99.0)
+            for strategy, values in ratios.items():
+                other = totals[strategy, org, index, ""].percentile_ms(99.0)
                 values.append(own.percentile_ms(99.0) / other)
-    policy_costs.report()
+    policy_costs.print_costs()
     print(
         f"\npolicy p99 versus power-of-two "
         f"{geometric_mean(ratios['power of two']):.2f}, versus oracle "
@@ -291,32 +316,32 @@
     )
 
 
-def switch_off(seeds: int, processes: int, chosen: list[int]) -> None:
-    """Run the policy whole and with each mechanism off in turn."""
+def ablate(seeds: int, processes: int, chosen: list[int]) -> None:
+    """Run the full policy and the policy with each mechanism off in turn."""
     names = ["", *Policy.__slots__]
     tasks = []
-    for number in chosen:
-        for site in SITES:
+    for index in chosen:
+        for profile in PROFILES:
             for seed in range(1, seeds + 1):
-                for off in names:
-                    tasks.append(Task(POLICY, site, number, seed, off))
-    found = gather(tasks, processes)
+                for disabled in names:
+                    tasks.append(Task(POLICY, profile, index, seed, disabled))
+    totals = run_all(tasks, processes)
     print(
         "p99 with the mechanism off over that of the whole policy "
         "(overload: goodput), most extra sends in any scenario in %, "
         "least background work in time in %"
     )
-    for number in chosen:
-        print(f"  column: {SCENARIOS[number].name}")
-    for off in names[1:]:
+    for index in chosen:
+        print(f"  column: {SCENARIOS[index].name}")
+    for disabled in names[1:]:
         ratios = []
         parts = []
-        for number in chosen:
-            scenario = SCENARIOS[number]
+        for index in chosen:
+            scenario = SCENARIOS[index]
             values = []
-            for user in USERS:
-                whole = found[POLICY, user, number, ""]
-                without = found[POLICY, user, number, off]
+            for org in ORGANISATIONS:
+                whole = totals[POLICY, org, index, ""]
+                without = totals[POLICY, org, index, disabled]
                 if scenario.name == OVERLOAD:
                     values.append(without.goodput / whole.goodput)
                 else:
@@ -326,35 +351,36 @@
             if scenario.name != OVERLOAD:
                 ratios.extend(values)
             parts.append(f"{geometric_mean(values):5.2f}")
-        extra = max(
-            found[POLICY, user, n, off].extra_share
-            for user in USERS
+        extra_sends = max(
+            totals[POLICY, org, n, disabled].extra_share
+            for org in ORGANISATIONS
             for n in chosen
         )
-        late = min(
-            found[POLICY, user, n, off].background_share
-            for user in USERS
+        background = min(
+            totals[POLICY, org, n, disabled].background_share
+            for org in ORGANISATIONS
             for n in chosen
         )
         print(
-            f"{off:10} {geometric_mean(ratios):6.3f} {100 * extra:6.1f} "
-            f"{100 * late:6.1f} | {' '.join(parts)}"
+            f"{disabled:10} {geometric_mean(ratios):6.3f} "
+            f"{100 * extra_sends:6.1f} {100 * background:6.1f} | "
+            f"{' '.join(parts)}"
         )
 
 
 def main() -> int:
-    """Run what the arguments ask for."""
+    """Run the command."""
     arguments = docopt(__doc__)
     seeds = int(arguments["--seeds"])
     processes = int(arguments["--processes"])
     text = arguments["--only"] or ""
     chosen = [
-        number
-        for number, scenario in enumerate(SCENARIOS)
+        index
+        for index, scenario in enumerate(SCENARIOS)
         if text in scenario.name
     ]
     if arguments["--switch-off"]:
-        switch_off(seeds, processes, chosen)
+        ablate(seeds, processes, chosen)
     else:
         compare(seeds, processes, chosen)
     return 0
--- a/benchmarks/policy_arrivals.py
+++ b/benchmarks/policy_arrivals.py
@@ -1,10 +1,21 @@
-"""Describe calls as they come, before anything is decided."""
+"""Define the arrivals that drive a simulation."""
 
 
 class Arrival:
-    """Describe one call, the same for every policy compared."""
+    """Describe one call, the same for every strategy compared.
 
-    __slots__ = ("at", "deadline_s", "entry", "method", "noises", "work_s")
+    ``noise_factors`` multiply ``work_s`` in the first, second and any
+    further attempt.
+    """
+
+    __slots__ = (
+        "at",
+        "deadline_s",
+        "entry",
+        "method",
+        "noise_factors",
+        "work_s",
+    )
 
     def __init__(
         self,
@@ -13,11 +24,11 @@
         method: str,
         work_s: float,
         deadline_s: float,
-        noises: tuple[float, float, float],
+        noise_factors: tuple[float, float, float],
     ) -> None:
         self.at = at
         self.entry = entry
         self.method = method
         self.work_s = work_s
         self.deadline_s = deadline_s
-        self.noises = noises
+        self.noise_factors = noise_factors
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -1,7 +1,8 @@
-"""Choose upstreams in the known ways that the policy is measured against.
+"""Implement the common strategies that the policy is compared with.
 
-Every baseline sends at once, retries an idempotent call that failed once
-elsewhere and believes the announcements; they differ in the choice alone.
+Every baseline sends a call at once, retries a failed call once at another
+endpoint if that is safe, and uses all announced endpoints that don't drain.
+They differ only in how they choose an endpoint.
 """
 
 from collections import deque
@@ -23,15 +24,15 @@
 from nutmegchute_core.members import Announcement
 from nutmegchute_core.members import DRAINING
 
-IDEMPOTENT = "GET"
-DEADLINE_S = 10.0
-PROBES_KEPT = 16
-PROBE_KEPT_S = 1.0
-HOT_SHARE = 0.75
+IDEMPOTENT_METHOD = "GET"
+DEFAULT_DEADLINE_S = 10.0
+MAX_POOLED_PROBES = 16
+PROBE_TTL_S = 1.0
+HOT_QUANTILE = 0.75
 
 
-class Decider(Protocol):
-    """Describe what drives an entry: a balancer or a baseline."""
+class LoadBalancer(Protocol):
+    """Define what the simulation calls in a balancer or a baseline."""
 
     def arrive(
         self,
@@ -45,7 +46,7 @@
         """Admit a call."""
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Take an attempt's end."""
+        """Record the end of an attempt."""
 
     def record_probe(
         self,
@@ -55,22 +56,22 @@
         latency_s: float,
         now: float,
     ) -> list[Action]:
-        """Take a probe's end."""
+        """Record the end of a probe."""
 
     def update_upstreams(
         self, announcements: list[Announcement], now: float
     ) -> list[Action]:
-        """Take the live endpoints."""
+        """Apply the live endpoints."""
 
     def tick(self, now: float) -> list[Action]:
-        """Do what has fallen due."""
+        """Run the timers that are due."""
 
     def next_wakeup(self) -> float | None:
-        """Give when tick must run."""
+        """Return when tick must run next, if ever."""
 
 
-class Known:
-    """Hold what a baseline knows of one endpoint."""
+class EndpointStats:
+    """Hold a baseline's data about one endpoint."""
 
     __slots__ = ("in_flight", "latency_s", "load", "name")
 
@@ -82,17 +83,19 @@
 
 
 class Baseline:
-    """Send each call at once to the endpoint that the rule picks."""
+    """Send each call at once to the endpoint that ``pick`` chooses."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.known: dict[str, Known] = {}
-        self.open: list[Known] = []
+        self.endpoints: dict[str, EndpointStats] = {}
+        self.available: list[EndpointStats] = []
         self._calls: dict[int, tuple[str, list[str], float]] = {}
         self._next_id = 1
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick one of the endpoints that may be used."""
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return the endpoint for the next attempt."""
         raise NotImplementedError
 
     def arrive(
@@ -107,28 +110,28 @@
         """Send a call."""
         call_id = self._next_id
         self._next_id += 1
-        deadline_at = now + (caller_deadline_s or DEADLINE_S)
+        deadline_at = now + (caller_deadline_s or DEFAULT_DEADLINE_S)
         self._calls[call_id] = (method, [], deadline_at)
         return call_id, self._send(call_id, now)
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Take an attempt's end; retry once elsewhere what may be."""
+        """Record the end of an attempt; retry once if that is safe."""
         call = self._calls.get(result.call_id)
         if call is None or result.outcome == CANCELLED:
             return []
         method, tried, _ = call
-        known = self.known.get(tried[-1])
-        if known is not None:
-            known.in_flight = max(0, known.in_flight - 1)
-            self.learn(known, result)
+        stats = self.endpoints.get(tried[-1])
+        if stats is not None:
+            stats.in_flight = max(0, stats.in_flight - 1)
+            self.record_result(stats, result)
         if result.outcome == ANSWERED and not result.failed:
             del self._calls[result.call_id]
             return [Finish(result.call_id, result.attempt)]
-        may_repeat = method == IDEMPOTENT or result.outcome not in (
+        is_retryable = method == IDEMPOTENT_METHOD or result.outcome not in (
             LOST,
             ANSWERED,
         )
-        if may_repeat and len(tried) == 1:
+        if is_retryable and len(tried) == 1:
             return self._send(result.call_id, now)
         del self._calls[result.call_id]
         if result.outcome == ANSWERED:
@@ -137,10 +140,10 @@
             return [Lose(result.call_id, "lost")]
         return [Refuse(result.call_id, "shed", 0.0)]
 
-    def learn(self, known: Known, result: Result) -> None:
-        """Take what an answer tells."""
+    def record_result(self, stats: EndpointStats, result: Result) -> None:
+        """Record what an attempt's result reports about its endpoint."""
         if result.load is not None:
-            known.load = result.load
+            stats.load = result.load
 
     def record_probe(
         self,
@@ -150,91 +153,101 @@
         latency_s: float,
         now: float,
     ) -> list[Action]:
-        """Take a probe's end."""
+        """Ignore probes."""
         return []
 
     def update_upstreams(
         self, announcements: list[Announcement], now: float
     ) -> list[Action]:
-        """Take the live endpoints."""
+        """Apply the live endpoints."""
         kept = {}
-        self.open = []
+        self.available = []
         for one in announcements:
-            known = self.known.get(one.endpoint) or Known(one.endpoint)
-            kept[one.endpoint] = known
+            stats = self.endpoints.get(one.endpoint) or EndpointStats(
+                one.endpoint
+            )
+            kept[one.endpoint] = stats
             if one.state != DRAINING:
-                self.open.append(known)
-        self.known = kept
+                self.available.append(stats)
+        self.endpoints = kept
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Do nothing."""
+        """Do nothing; baselines have no timers."""
         return []
 
     def next_wakeup(self) -> float | None:
-        """Ask for no tick."""
+        """Return None: no tick is needed."""
         return None
 
     def _send(self, call_id: int, now: float) -> list[Action]:
         _, tried, deadline_at = self._calls[call_id]
-        open_ones = self.open
+        candidates = self.available
         if tried:
-            open_ones = [one for one in open_ones if one.name not in tried]
-        if not open_ones or now >= deadline_at:
+            candidates = [one for one in candidates if one.name not in tried]
+        if not candidates or now >= deadline_at:
             del self._calls[call_id]
             return [Refuse(call_id, "none", 0.0)]
-        known = self.pick(open_ones, now)
-        known.in_flight += 1
-        tried.append(known.name)
-        return [Send(call_id, len(tried), known.name, deadline_at - now)]
+        stats = self.pick(candidates, now)
+        stats.in_flight += 1
+        tried.append(stats.name)
+        return [Send(call_id, len(tried), stats.name, deadline_at - now)]
 
 
 class RandomChoice(Baseline):
-    """Pick any."""
+    """Pick endpoints at random."""
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick any."""
-        return self.random.choice(open_ones)
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return a random endpoint."""
+        return self.random.choice(candidates)
 
 
 class RoundRobin(Baseline):
-    """Pick each in turn, from a random start."""
+    """Pick each endpoint in turn, from a random start."""
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
-        self._turn = random.randrange(1000)
+        self._position = random.randrange(1000)
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick the next."""
-        self._turn += 1
-        return open_ones[self._turn % len(open_ones)]
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return the next endpoint in turn."""
+        self._position += 1
+        return candidates[self._position % len(candidates)]
 
 
 class PowerOfTwo(Baseline):
-    """Pick the one of two with fewer own calls in flight."""
+    """Pick from two random endpoints by the entry's calls in flight."""
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick the better of two."""
-        few = self.random.sample(open_ones, min(2, len(open_ones)))
-        return min(few, key=lambda one: one.in_flight)
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return the one of two with fewer calls in flight."""
+        sampled = self.random.sample(candidates, min(2, len(candidates)))
+        return min(sampled, key=lambda one: one.in_flight)
 
 
 class LeastReported(Baseline):
-    """Pick the one with the least load in its last report."""
+    """Pick the endpoint that last reported the least load."""
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick the least loaded, ties at random."""
-        least = min(one.load for one in open_ones)
-        few = [one for one in open_ones if one.load == least]
-        return self.random.choice(few)
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return the least loaded endpoint; break ties at random."""
+        min_load = min(one.load for one in candidates)
+        sampled = [one for one in candidates if one.load == min_load]
+        return self.random.choice(sampled)
 
 
 class Probing(Baseline):
-    """Keep a pool of probe answers; pick a cold one by its latency.
+    """Keep a pool of probe replies; pick a cold endpoint by its latency.
 
-    Endpoints whose load lies above the pool's HOT_SHARE quantile are
-    hot. A cold one with the least latency wins; where all are hot, the
-    least loaded. Probes go to random endpoints under the same budget.
+    Endpoints whose load is above the pool's HOT_QUANTILE are hot, the others
+    cold. The cold endpoint with the least latency is picked, of equals the
+    less loaded. Probes go to random endpoints, within the policy's budget.
     """
 
     def __init__(self, random: Random, budget: ProbeBudget) -> None:
@@ -242,20 +255,20 @@
         self._budget = budget
         self._pool: deque[tuple[float, str, int, float]] = deque()
 
-    def learn(self, known: Known, result: Result) -> None:
-        """Follow the latency of answers."""
-        super().learn(known, result)
+    def record_result(self, stats: EndpointStats, result: Result) -> None:
+        """Record the reported load and average the latency of answers."""
+        super().record_result(stats, result)
         if result.outcome == ANSWERED:
-            known.latency_s += 0.3 * (result.latency_s - known.latency_s)
+            stats.latency_s += 0.3 * (result.latency_s - stats.latency_s)
 
     def tick(self, now: float) -> list[Action]:
-        """Probe a random endpoint."""
-        if not self.open or not self._budget.spend(now):
+        """Probe a random endpoint if the budget allows."""
+        if not self.available or not self._budget.spend(now):
             return []
-        return [Probe("", self.random.choice(self.open).name)]
+        return [Probe("", self.random.choice(self.available).name)]
 
     def next_wakeup(self) -> float | None:
-        """Ask for a tick when the next probe may go."""
+        """Return when the next probe may be sent."""
         return self._budget.next_at
 
     def record_probe(
@@ -266,25 +279,30 @@
         latency_s: float,
         now: float,
     ) -> list[Action]:
-        """Keep a probe's answer."""
-        known = self.known.get(endpoint)
-        if load is not None and known is not None:
-            self._pool.append((now, endpoint, load, known.latency_s))
-            if len(self._pool) > PROBES_KEPT:
+        """Add a probe's reply to the pool."""
+        stats = self.endpoints.get(endpoint)
+        if load is not None and stats is not None:
+            self._pool.append((now, endpoint, load, stats.latency_s))
+            if len(self._pool) > MAX_POOLED_PROBES:
                 self._pool.popleft()
         return []
 
-    def pick(self, open_ones: list[Known], now: float) -> Known:
-        """Pick by load and latency; without fresh probes, of two."""
-        while self._pool and now - self._pool[0][0] > PROBE_KEPT_S:
+    def pick(
+        self, candidates: list[EndpointStats], now: float
+    ) -> EndpointStats:
+        """Return the best probed endpoint.
+
+        With fewer than two fresh replies, pick as PowerOfTwo does.
+        """
+        while self._pool and now - self._pool[0][0] > PROBE_TTL_S:
             self._pool.popleft()
-        names = {one.name: one for one in open_ones}
+        names = {one.name: one for one in candidates}
         fresh = [one for one in self._pool if one[1] in names]
         if len(fresh) < 2:
-            few = self.random.sample(open_ones, min(2, len(open_ones)))
-            return min(few, key=lambda one: one.in_flight)
+            sampled = self.random.sample(candidates, min(2, len(candidates)))
+            return min(sampled, key=lambda one: one.in_flight)
         loads = sorted(one[2] for one in fresh)
-        hot = loads[int(HOT_SHARE * (len(loads) - 1))]
+        hot = loads[int(HOT_QUANTILE * (len(loads) - 1))]
         cold = [one for one in fresh if one[2] <= hot]
         best = min(cold, key=lambda one: (one[3], one[2]))
         self._pool.remove(best)
--- a/benchmarks/policy_oracle.py
+++ b/benchmarks/policy_oracle.py
@@ -1,4 +1,8 @@
-"""Choose with perfect knowledge and one queue: the limit for any policy."""
+"""Choose with full knowledge and one queue, as an upper bound.
+
+No real strategy can do better: the oracle reads the state of every endpoint
+without delay.
+"""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -13,18 +17,18 @@
 from nutmegchute_core.calls import Send
 from nutmegchute_core.members import Announcement
 
-from .policy_baselines import DEADLINE_S
+from .policy_baselines import DEFAULT_DEADLINE_S
 
 if TYPE_CHECKING:
     from .policy_upstreams import Endpoint
     from .policy_upstreams import Simulation
 
-# A call handed out with less left than this would often end too late.
-LATE_S = 0.1
+# A call sent with less time left than this would often miss its deadline.
+MIN_REMAINING_S = 0.1
 
 
-class Waiting:
-    """Hold a call in the one queue."""
+class QueuedCall:
+    """Hold a call in the oracle's queue."""
 
     __slots__ = ("attempts", "call_id", "deadline_at", "entry", "method")
 
@@ -39,29 +43,29 @@
 
 
 class Oracle:
-    """See every endpoint as it is; hand a slot out as it falls free."""
+    """Queue all calls and send each when a suitable slot is free."""
 
     def __init__(self) -> None:
         self._simulation: Simulation | None = None
-        self._queue: deque[Waiting] = deque()
+        self._queue: deque[QueuedCall] = deque()
 
-    def watch(self, simulation: "Simulation") -> None:
-        """See through a simulation."""
+    def attach(self, simulation: "Simulation") -> None:
+        """Read endpoint states from a simulation and dispatch in it."""
         self._simulation = simulation
-        simulation.on_idle = self.dispatch
+        simulation.on_slot_free = self.dispatch
 
     def dispatch(self) -> None:
-        """Hand out the free slots."""
+        """Send queued calls while there are suitable free slots."""
         assert self._simulation is not None
         now = self._simulation.now
         while self._queue:
             call = self._queue[0]
-            if now + LATE_S > call.deadline_at:
+            if now + MIN_REMAINING_S > call.deadline_at:
                 self._queue.popleft()
                 action: Action = Refuse(call.call_id, "late", 0.0)
                 self._simulation.perform(call.entry, [action])
                 continue
-            endpoint = self._best(now)
+            endpoint = self._best_endpoint(now)
             if endpoint is None:
                 return
             self._queue.popleft()
@@ -72,42 +76,42 @@
             )
             self._simulation.perform(call.entry, [action])
 
-    def enqueue(self, call: Waiting) -> None:
-        """Let a call wait or go."""
+    def enqueue(self, call: QueuedCall) -> None:
+        """Queue a call and schedule a dispatch."""
         assert self._simulation is not None
         self._queue.append(call)
-        self._simulation.at(self._simulation.now, self.dispatch)
+        self._simulation.schedule(self._simulation.now, self.dispatch)
 
-    def _best(self, now: float) -> "Endpoint | None":
+    def _best_endpoint(self, now: float) -> "Endpoint | None":
         assert self._simulation is not None
         best = None
-        best_factor = 0.0
+        min_slowdown = 0.0
         fast_slots = 0
         for endpoint in self._simulation.endpoints.values():
-            if endpoint.dead or endpoint.failing or endpoint.leaving:
+            if endpoint.dead or endpoint.failing or endpoint.draining:
                 continue
-            factor = endpoint.factor(now)
-            if factor < 2.0:
+            slowdown = endpoint.slowdown(now)
+            if slowdown < 2.0:
                 fast_slots += endpoint.slots
             if endpoint.busy >= endpoint.slots:
                 continue
-            if best is None or factor < best_factor:
+            if best is None or slowdown < min_slowdown:
                 best = endpoint
-                best_factor = factor
+                min_slowdown = slowdown
         wait = len(self._queue) / max(1, fast_slots)
-        if best_factor > 1.0 + wait and best_factor >= 2.0:
-            # Waiting for a fast slot ends sooner than a slow one now.
+        if min_slowdown > 1.0 + wait and min_slowdown >= 2.0:
+            # A call that waits for a fast slot ends sooner than on this one.
             return None
         return best
 
 
 class OracleEntry:
-    """Stand at one entry for the oracle."""
+    """Pass one entry's calls and results to the oracle."""
 
     def __init__(self, oracle: Oracle, entry: int) -> None:
         self.oracle = oracle
         self._entry = entry
-        self._calls: dict[int, Waiting] = {}
+        self._calls: dict[int, QueuedCall] = {}
         self._next_id = 1
 
     def arrive(
@@ -119,17 +123,17 @@
         caller_deadline_s: float | None = None,
         attempt: int = 1,
     ) -> tuple[int, list[Action]]:
-        """Put a call into the one queue."""
+        """Queue a call."""
         call_id = self._next_id
         self._next_id += 1
-        deadline_at = now + (caller_deadline_s or DEADLINE_S)
-        call = Waiting(self._entry, call_id, method, deadline_at)
+        deadline_at = now + (caller_deadline_s or DEFAULT_DEADLINE_S)
+        call = QueuedCall(self._entry, call_id, method, deadline_at)
         self._calls[call_id] = call
         self.oracle.enqueue(call)
         return call_id, []
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Take an attempt's end."""
+        """Finish or lose the call, or queue it again."""
         if result.outcome == ANSWERED:
             return [Finish(result.call_id, result.attempt)]
         call = self._calls[result.call_id]
@@ -146,19 +150,19 @@
         latency_s: float,
         now: float,
     ) -> list[Action]:
-        """Need no probe."""
+        """Ignore probes; the oracle reads the load."""
         return []
 
     def update_upstreams(
         self, announcements: list[Announcement], now: float
     ) -> list[Action]:
-        """Need no announcement."""
+        """Ignore announcements; the oracle reads the endpoints."""
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Do nothing."""
+        """Do nothing; the oracle has no timers."""
         return []
 
     def next_wakeup(self) -> float | None:
-        """Ask for no tick."""
+        """Return None: no tick is needed."""
         return None
--- a/benchmarks/policy_scenarios.py
+++ b/benchmarks/policy_scenarios.py
@@ -1,4 +1,4 @@
-"""Say what happens in each scenario, in virtual time."""
+"""Define the services, the scenarios and the faults that they inject."""
 
 from collections.abc import Callable
 from math import exp
@@ -10,19 +10,19 @@
 from nutmegchute_core.members import UP
 
 from .policy_arrivals import Arrival
+from .policy_upstreams import DELAYED
 from .policy_upstreams import Endpoint
 from .policy_upstreams import MEAN_WORK_S
-from .policy_upstreams import OLD
 from .policy_upstreams import Simulation
 from .policy_upstreams import STUCK
 from .policy_upstreams import ZERO
 
 ENTRIES = 16
-WARM_S = 0.5
-SPREAD_S = 0.3
+SETTLE_S = 0.5
+MAX_ANNOUNCE_DELAY_S = 0.3
 WORK_SIGMA = 0.4
 NOISE_SIGMA = 0.5
-PROBE_SHARE = 0.01
+PROBE_LOAD_SHARE = 0.01
 PROBE_S = 0.005
 
 LOOKUP = "GET"
@@ -31,14 +31,14 @@
 DEADLINES_S = {LOOKUP: 0.5, ACTION: 1.0, BACKGROUND: 8.0}
 
 DRAIN_AT_S = 1.0
-LEAVE_AT_S = 1.5
-RETURN_AT_S = 2.0
-LOST_AT_S = 1.0
+REMOVE_AT_S = 1.5
+RESTART_AT_S = 2.0
+KILL_AT_S = 1.0
 LEASE_S = 3.0
 
 
-class Site:
-    """Describe one service at the size that a user runs today."""
+class ServiceProfile:
+    """Describe a service at the size at which an organisation runs it."""
 
     def __init__(
         self,
@@ -56,16 +56,16 @@
 
     @property
     def capacity(self) -> float:
-        """Give the calls a second that all slots get through."""
+        """Return the calls per second that all slots can serve."""
         return self.count * self.slots / MEAN_WORK_S
 
     @property
     def probes_per_s(self) -> float:
-        """Give the agreed probe budget: a share of the capacity."""
-        return self.count * self.slots * PROBE_SHARE / PROBE_S
+        """Return the probe budget of all entries, a share of capacity."""
+        return self.count * self.slots * PROBE_LOAD_SHARE / PROBE_S
 
     def document(self) -> dict[str, Any]:
-        """Declare the service as its team would."""
+        """Build the declaration of the service."""
         rules = [
             _rule("action", ACTION, False, "action"),
             _rule("sync", BACKGROUND, True, "background"),
@@ -80,7 +80,7 @@
         }
 
     def endpoints(self) -> list[Endpoint]:
-        """Build the endpoints, spread over the zones."""
+        """Build the endpoints, spread evenly over the zones."""
         return [
             Endpoint(f"{number}:1", self.zones[number % 3], self.slots)
             for number in range(self.count)
@@ -104,55 +104,55 @@
 
 LIMA = ("miraflores", "san-isidro", "surco")
 DK_EAST = ("hall-a", "hall-b", "hall-c")
-SITES = {
-    "prestamos": Site(
+PROFILES = {
+    "prestamos": ServiceProfile(
         "prestamos", LIMA, 18, 3, {LOOKUP: 0.6, ACTION: 0.3, BACKGROUND: 0.1}
     ),
-    "catalogo": Site(
+    "catalogo": ServiceProfile(
         "catalogo",
         LIMA,
         18,
         3,
         {LOOKUP: 0.85, ACTION: 0.05, BACKGROUND: 0.1},
     ),
-    "catalog": Site(
+    "catalog": ServiceProfile(
         "catalog",
         DK_EAST,
         15,
         2,
         {LOOKUP: 0.75, ACTION: 0.15, BACKGROUND: 0.1},
     ),
-    "player": Site(
+    "player": ServiceProfile(
         "player", DK_EAST, 15, 2, {LOOKUP: 0.6, ACTION: 0.3, BACKGROUND: 0.1}
     ),
 }
 
 
-class World:
-    """Let a scenario act on one simulation."""
+class FaultInjector:
+    """Inject faults and membership changes into one simulation."""
 
     def __init__(
-        self, site: Site, simulation: Simulation, random: Random
+        self, profile: ServiceProfile, simulation: Simulation, random: Random
     ) -> None:
-        self.site = site
+        self.profile = profile
         self.simulation = simulation
         self.random = random
         self._states = dict.fromkeys(simulation.endpoints, UP)
         self._incarnations = dict.fromkeys(simulation.endpoints, 1)
 
-    def some(self, share: float) -> list[Endpoint]:
-        """Pick a share of the endpoints."""
-        ones = list(self.simulation.endpoints.values())
-        return self.random.sample(ones, round(len(ones) * share))
+    def sample(self, share: float) -> list[Endpoint]:
+        """Pick a random share of the endpoints."""
+        endpoints = list(self.simulation.endpoints.values())
+        return self.random.sample(endpoints, round(len(endpoints) * share))
 
-    def announce(self, spread_s: float = SPREAD_S) -> None:
-        """Tell every entry who lives, each after a delay of its own."""
-        found = []
+    def announce(self, max_delay_s: float = MAX_ANNOUNCE_DELAY_S) -> None:
+        """Announce the live endpoints to each entry, after a random delay."""
+        announcements = []
         for name, state in self._states.items():
             endpoint = self.simulation.endpoints[name]
-            found.append(
+            announcements.append(
                 Announcement(
-                    self.site.service,
+                    self.profile.service,
                     name,
                     endpoint.zone,
                     endpoint.slots,
@@ -162,83 +162,83 @@
             )
         simulation = self.simulation
         for entry in range(ENTRIES):
-            at = simulation.now + self.random.random() * spread_s
-            simulation.at(at, simulation.announce, entry, found)
+            at = simulation.now + self.random.random() * max_delay_s
+            simulation.schedule(at, simulation.announce, entry, announcements)
 
-    def drain(self, ones: list[Endpoint]) -> None:
-        """Let endpoints say that they leave."""
-        for endpoint in ones:
-            endpoint.leaving = True
+    def drain(self, endpoints: list[Endpoint]) -> None:
+        """Mark endpoints as draining and announce it."""
+        for endpoint in endpoints:
+            endpoint.draining = True
             self._states[endpoint.name] = DRAINING
         self.announce()
 
-    def leave(self, ones: list[Endpoint]) -> None:
-        """Let endpoints be gone."""
-        for endpoint in ones:
+    def remove(self, endpoints: list[Endpoint]) -> None:
+        """Remove endpoints and announce the others."""
+        for endpoint in endpoints:
             self._states.pop(endpoint.name, None)
         self.announce()
 
-    def come_back(self, ones: list[Endpoint]) -> None:
-        """Let endpoints arrive as new, cold processes."""
-        for endpoint in ones:
-            endpoint.leaving = False
-            endpoint.cold_at = self.simulation.now
+    def restart(self, endpoints: list[Endpoint]) -> None:
+        """Restart endpoints as new, cold processes and announce them."""
+        for endpoint in endpoints:
+            endpoint.draining = False
+            endpoint.cold_since = self.simulation.now
             self._states[endpoint.name] = UP
             self._incarnations[endpoint.name] += 1
         self.announce()
 
 
 class Scenario:
-    """Set a load, as a share of capacity over time, and a course."""
+    """Define a load over time, as a share of capacity, and its faults."""
 
     def __init__(
         self,
         name: str,
         load: Callable[[float], float] | float,
         run_s: float = 3.0,
-        act: Callable[[World], None] | None = None,
+        inject_faults: Callable[[FaultInjector], None] | None = None,
     ) -> None:
         self.name = name
         self.run_s = run_s
         self._load = load
-        self._act = act
+        self._inject_faults = inject_faults
 
     def load(self, now: float) -> float:
-        """Give the load offered, as a share of capacity."""
+        """Return the offered load, as a share of capacity."""
         if callable(self._load):
             return self._load(now)
         return self._load
 
-    def begin(self, world: World) -> None:
-        """Announce everyone and set the course."""
-        world.announce(0.0)
-        if self._act is not None:
-            self._act(world)
+    def start(self, injector: FaultInjector) -> None:
+        """Announce all endpoints and schedule the faults."""
+        injector.announce(0.0)
+        if self._inject_faults is not None:
+            self._inject_faults(injector)
 
-    def arrivals(self, site: Site, seed: int) -> list[Arrival]:
-        """Draw the calls; the same for every policy."""
+    def arrivals(self, profile: ServiceProfile, seed: int) -> list[Arrival]:
+        """Draw the calls, the same for every strategy."""
         random = Random(seed)
-        found: list[Arrival] = []
-        most = max(self.load(0.0), self.load(self.run_s))
-        methods = list(site.mix)
-        weights = list(site.mix.values())
+        arrivals: list[Arrival] = []
+        peak_load = max(self.load(0.0), self.load(self.run_s))
+        methods = list(profile.mix)
+        weights = list(profile.mix.values())
         now = 0.0
         while True:
-            now += random.expovariate(most * site.capacity)
+            now += random.expovariate(peak_load * profile.capacity)
             if now >= self.run_s:
-                return found
-            if random.random() * most > self.load(now):
+                return arrivals
+            if random.random() * peak_load > self.load(now):
                 continue
             method = random.choices(methods, weights)[0]
-            noises = (_noise(random), _noise(random), _noise(random))
-            found.append(
+            noise_factors = (_noise(random), _noise(random), _noise(random))
+            arrivals.append(
                 Arrival(
                     now,
                     random.randrange(ENTRIES),
                     method,
                     MEAN_WORK_S * _lognormal(random, WORK_SIGMA),
                     DEADLINES_S[method],
-                    noises,
+                    noise_factors,
                 )
             )
 
@@ -251,56 +251,60 @@
     return _lognormal(random, NOISE_SIGMA)
 
 
-def _short_bursts(world: World) -> None:
-    for endpoint in world.some(1 / 3):
+def _brief_slowdowns(injector: FaultInjector) -> None:
+    for endpoint in injector.sample(1 / 3):
         now = 0.0
         while now < 10.0:
-            now += world.random.expovariate(1 / 0.07)
-            length_s = world.random.uniform(0.005, 0.05)
-            endpoint.slow.append((now, now + length_s, 5.0))
+            now += injector.random.expovariate(1 / 0.07)
+            length_s = injector.random.uniform(0.005, 0.05)
+            endpoint.slow_spans.append((now, now + length_s, 5.0))
             now += length_s
 
 
-def _long_bursts(world: World) -> None:
-    for endpoint in world.some(1 / 3):
-        endpoint.slow.append((1.0, 3.0, 5.0))
+def _long_slowdown(injector: FaultInjector) -> None:
+    for endpoint in injector.sample(1 / 3):
+        endpoint.slow_spans.append((1.0, 3.0, 5.0))
 
 
-def _fail_fast(world: World) -> None:
-    world.some(1.01 / world.site.count)[0].failing = True
+def _fail_fast(injector: FaultInjector) -> None:
+    injector.sample(1.01 / injector.profile.count)[0].failing = True
 
 
-def _hang(world: World) -> None:
-    names = [one.name for one in world.some(1.01 / world.site.count)]
-    world.simulation.at(LOST_AT_S, world.simulation.kill, names)
+def _hang(injector: FaultInjector) -> None:
+    names = [
+        one.name for one in injector.sample(1.01 / injector.profile.count)
+    ]
+    injector.simulation.schedule(KILL_AT_S, injector.simulation.kill, names)
 
 
-def _lie(kind: str) -> Callable[[World], None]:
-    def act(world: World) -> None:
-        for endpoint in world.some(1 / 3):
-            endpoint.report = kind
+def _misreport(mode: str) -> Callable[[FaultInjector], None]:
+    def inject_faults(injector: FaultInjector) -> None:
+        for endpoint in injector.sample(1 / 3):
+            endpoint.report_mode = mode
 
-    return act
+    return inject_faults
 
 
-def _replace(world: World) -> None:
-    ones = world.some(0.2)
-    simulation = world.simulation
-    simulation.at(DRAIN_AT_S, world.drain, ones)
-    simulation.at(LEAVE_AT_S, world.leave, ones)
-    simulation.at(RETURN_AT_S, world.come_back, ones)
+def _replace(injector: FaultInjector) -> None:
+    endpoints = injector.sample(0.2)
+    simulation = injector.simulation
+    simulation.schedule(DRAIN_AT_S, injector.drain, endpoints)
+    simulation.schedule(REMOVE_AT_S, injector.remove, endpoints)
+    simulation.schedule(RESTART_AT_S, injector.restart, endpoints)
 
 
-def _lose_zone(world: World) -> None:
-    simulation = world.simulation
-    zone = world.site.zones[0]
-    ones = [one for one in simulation.endpoints.values() if one.zone == zone]
-    names = [one.name for one in ones]
-    simulation.at(LOST_AT_S, simulation.kill, names)
-    simulation.at(LOST_AT_S + LEASE_S, world.leave, ones)
+def _lose_zone(injector: FaultInjector) -> None:
+    simulation = injector.simulation
+    zone = injector.profile.zones[0]
+    endpoints = [
+        one for one in simulation.endpoints.values() if one.zone == zone
+    ]
+    names = [one.name for one in endpoints]
+    simulation.schedule(KILL_AT_S, simulation.kill, names)
+    simulation.schedule(KILL_AT_S + LEASE_S, injector.remove, endpoints)
 
 
-def _doubling(now: float) -> float:
+def _doubling_load(now: float) -> float:
     return 0.42 * (1.0 + min(1.0, max(0.0, now - 1.0)))
 
 
@@ -310,14 +314,14 @@
     Scenario("steady 70 %", 0.7),
     Scenario("steady 85 %", 0.85),
     Scenario("steady 95 %", 0.95),
-    Scenario("noisy third, 5-50 ms", 0.7, act=_short_bursts),
-    Scenario("noisy third, 2 s", 0.5, 4.0, _long_bursts),
-    Scenario("one fails fast", 0.7, act=_fail_fast),
-    Scenario("one hangs", 0.7, 5.0, act=_hang),
-    Scenario("reports stuck", 0.7, act=_lie(STUCK)),
-    Scenario("reports zero", 0.7, act=_lie(ZERO)),
-    Scenario("reports 2 s old", 0.7, act=_lie(OLD)),
-    Scenario("traffic doubles", _doubling, 3.5),
+    Scenario("noisy third, 5-50 ms", 0.7, inject_faults=_brief_slowdowns),
+    Scenario("noisy third, 2 s", 0.5, 4.0, _long_slowdown),
+    Scenario("one fails fast", 0.7, inject_faults=_fail_fast),
+    Scenario("one hangs", 0.7, 5.0, inject_faults=_hang),
+    Scenario("reports stuck", 0.7, inject_faults=_misreport(STUCK)),
+    Scenario("reports zero", 0.7, inject_faults=_misreport(ZERO)),
+    Scenario("reports 2 s old", 0.7, inject_faults=_misreport(DELAYED)),
+    Scenario("traffic doubles", _doubling_load, 3.5),
     Scenario("20 % replaced cold", 0.65, 4.0, _replace),
     Scenario("zone lost", 0.5, 3.0, _lose_zone),
     Scenario(OVERLOAD, 1.5, 3.0),
