--- a/packages/core/nutmegchute_core/admissions.py
+++ b/packages/core/nutmegchute_core/admissions.py
@@ -11,10 +11,10 @@
 from .replicas import Replica
 
 # A replica that returns under its name with a new identity proves that the
-# old identity's disk is gone; the delay only excludes messages in flight.
+# old identity's disk is lost; the wait covers messages still in flight.
 REPLACED_SILENT_S = 1.0
-# Silent learners are removed, since endpoints and routers are sent to every
-# member. One that comes back later requests to join again.
+# Silent learners are removed, since endpoints and routers are referred to all
+# members. One that returns later requests to join again.
 LEARNER_SILENT_S = 5.0
 
 
--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -96,7 +96,7 @@
         return self._pools.evacuations
 
     def drain_reports(self) -> list[Report]:
-        """Remove and return the crash reports that are due to control."""
+        """Remove and return the crash reports for control."""
         return self._isolation.drain_reports()
 
     @property
@@ -198,7 +198,7 @@
         return call_id, actions
 
     def finish(self, result: Result, now: float) -> list[Action]:
-        """Record the end of an attempt and return what follows from it."""
+        """Record the end of an attempt and return the next actions."""
         call = self._calls.get(result.call_id)
         if call is None or result.attempt not in call.outstanding:
             # The call was abandoned or another attempt answered first; the
@@ -235,7 +235,7 @@
     def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Action]:
-        """Apply the reply to a trial request; None if there was none."""
+        """Apply the ruling on a trial request, None without a reply."""
         actions: list[Action] = []
         releases = self._isolation.apply_ruling(request, ruling, now)
         self._release(releases, now, actions)
@@ -423,7 +423,7 @@
         now: float,
         actions: list[Action],
     ) -> bool:
-        """Refuse a queued call that is better retried; return if it was."""
+        """Refuse a call that should be shed; return whether it was refused."""
         if call.state != QUEUED or not pool.should_shed(
             call, starts_waiting, now
         ):
@@ -670,8 +670,8 @@
         self._isolation.end_call(call, call.state != QUEUED)
         if call.may_have_run:
             # An earlier attempt was lost after bytes had been sent, so the
-            # call may have run. After "not run" the caller could repeat a
-            # loan that then runs twice.
+            # call may have run. After "not run" the caller could send it
+            # again, and it would run twice.
             call.step("lose")
             return Lose(call.call_id, reason)
         call.step("refuse")
@@ -688,7 +688,7 @@
     def _hold_or_refuse(
         self, pool: Pool, call: Call, now: float, actions: list[Action]
     ) -> bool:
-        """Hold a suspect or refuse a quarantined call; return if either."""
+        """Hold a suspect, refuse a quarantined call; return whether it did."""
         ruling = self._isolation.check(call, now)
         if ruling.outcome == FREE:
             return False
--- a/packages/core/nutmegchute_core/calls.py
+++ b/packages/core/nutmegchute_core/calls.py
@@ -43,7 +43,7 @@
 
 
 class Refuse:
-    """Answer "not run" and say after how long to retry."""
+    """Answer "not run", with the time to wait before a retry."""
 
     __slots__ = ("call_id", "reason", "retry_after_s")
 
--- a/packages/core/nutmegchute_core/catalogs.py
+++ b/packages/core/nutmegchute_core/catalogs.py
@@ -12,9 +12,9 @@
 from .members import Key
 from .members import Process
 
-# How long the endpoints of a restarted replica are kept. It knows none until
-# they have announced themselves again, to it or to another replica; without
-# this its restart would remove a third of them for a second or two.
+# How long the endpoints of a restarted replica are kept. The replica has none
+# until they have announced themselves again, to it or to another replica; its
+# restart would otherwise remove a third of them for a second or two.
 ORPHAN_TTL_S = 6.0
 # How long the endpoints of an unreachable replica are kept while others are
 # reachable; they announce themselves to those in the meantime. If no replica
@@ -55,8 +55,8 @@
     def __init__(self) -> None:
         self._sources: dict[str, Source] = {}
         self._orphans: dict[Process, tuple[Announcement, float]] = {}
-        # The end and the draining of a process are final: reports that are
-        # late, or from a replica that does not know, change nothing.
+        # The end and the draining of a process are final: late reports, and
+        # those of a replica that has not received either, change nothing.
         self._ended: OrderedDict[Process, float] = OrderedDict()
         self._draining: OrderedDict[Process, float] = OrderedDict()
         self._sequence: dict[Process, int] = {}
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -226,7 +226,7 @@
         return self.warm_up_limit.allows(endpoint, now)
 
     def must_refuse(self, now: float) -> bool:
-        """Return whether all endpoints are cold and left to others."""
+        """Return whether all endpoints are cold and left to other entries."""
         for endpoint in self._endpoints:
             if not self.warm_up_limit.excludes(endpoint, now):
                 return False
--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -82,7 +82,7 @@
         """Return whether at least half of the peers have answered.
 
         Together with this replica they are a majority, so that it holds
-        what most replicas know.
+        the endpoints of most replicas.
         """
         answered, counted = self.peers.count_answered(now)
         return 2 * answered >= counted
--- a/packages/core/nutmegchute_core/effects.py
+++ b/packages/core/nutmegchute_core/effects.py
@@ -1,4 +1,4 @@
-"""Define the effects that a replica asks its driver to carry out."""
+"""Define the effects that a driver carries out for a replica."""
 
 from .messages import HardState
 from .messages import LogEntry
--- a/packages/core/nutmegchute_core/endpoints.py
+++ b/packages/core/nutmegchute_core/endpoints.py
@@ -117,7 +117,7 @@
 
     @property
     def accepts_calls(self) -> bool:
-        """Return whether it is neither draining nor evacuated."""
+        """Return whether the endpoint is neither draining nor evacuated."""
         return not (self.draining or self.evacuated)
 
     def load_basis(self, now: float) -> dict[str, float]:
--- a/packages/core/nutmegchute_core/follow_protocol.py
+++ b/packages/core/nutmegchute_core/follow_protocol.py
@@ -129,10 +129,10 @@
 
 
 class TreeLease:
-    """Decide on an entry whether it may act on its tree.
+    """Decide whether this entry may act on its tree.
 
     It may while it holds a lease. Without one, a newer tree may be in force
-    elsewhere, so it stops, unless more than half of all entries are
+    elsewhere, so the entry stops, unless more than half of all entries are
     reachable and have no leader either. Then control is down for all, and
     stopping every entry would turn that into an outage.
     """
--- a/packages/core/nutmegchute_core/formations.py
+++ b/packages/core/nutmegchute_core/formations.py
@@ -25,7 +25,7 @@
 
     Only the listed founders form a group, once all of them are present with
     empty disks; other replicas wait to be admitted. So a founder that lost
-    its disk can't form a second group beside the first one, since another
+    its disk cannot form a second group beside the first one, since another
     founder still belongs to the first and reports it.
     """
 
--- a/packages/core/nutmegchute_core/histories.py
+++ b/packages/core/nutmegchute_core/histories.py
@@ -97,8 +97,8 @@
         dropped = []
         while self._tombstones:
             process, tombstone = next(iter(self._tombstones.items()))
-            is_young = now - tombstone.at <= TOMBSTONE_TTL_S
-            if is_young and len(self._tombstones) <= limit:
+            is_recent = now - tombstone.at <= TOMBSTONE_TTL_S
+            if is_recent and len(self._tombstones) <= limit:
                 break
             del self._tombstones[process]
             self._pruned_to = max(self._pruned_to, tombstone.generation)
--- a/packages/core/nutmegchute_core/incoming_snapshots.py
+++ b/packages/core/nutmegchute_core/incoming_snapshots.py
@@ -34,7 +34,7 @@
             self._data += request.piece
 
     def completed(self) -> Snapshot | None:
-        """Return the snapshot once all chunks are there, else None."""
+        """Return the snapshot once all chunks have arrived, else None."""
         if len(self._data) < self._total:
             return None
         return Snapshot(
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -1,4 +1,4 @@
-"""Keep the calls of suspects on one entry apart from all others."""
+"""Hold, on one entry, the calls of requests that may crash endpoints."""
 
 from random import Random
 
@@ -99,7 +99,7 @@
     def apply_ruling(
         self, request: TrialRequest, ruling: Ruling | None, now: float
     ) -> list[Release]:
-        """Apply the ruling on a trial request; None if none came."""
+        """Apply the ruling on a trial request, None without a reply."""
         key = request.service, request.fingerprint
         call = self._trials.end_request(request.token)
         if call is None:
@@ -149,7 +149,7 @@
         return releases
 
     def end_call(self, call: Call, sent: bool) -> None:
-        """Remove a call that has ended; ``sent`` says if it was sent."""
+        """Remove a call that has ended; ``sent`` says whether it was sent."""
         key = call.key
         self._trials.remove_call(call)
         other = self._trials.next_call(key)
--- a/packages/core/nutmegchute_core/join_requests.py
+++ b/packages/core/nutmegchute_core/join_requests.py
@@ -20,7 +20,7 @@
         """Record an introduction if it names the group.
 
         Founders introduce themselves before the group exists. If that were
-        recorded, one removed soon after would seem to request to rejoin.
+        recorded, a founder removed soon after would seem to request to rejoin.
         """
         if introduction.group is None:
             return
--- a/packages/core/nutmegchute_core/leaderships.py
+++ b/packages/core/nutmegchute_core/leaderships.py
@@ -17,7 +17,7 @@
 # A learner at most this many entries behind may be promoted.
 CAUGHT_UP_ENTRIES = 64
 # A stopping replica repeats its announcement; it expires so that a replica
-# which has restarted meanwhile is not taken for a stopping one.
+# which has restarted meanwhile does not count as stopping.
 LEAVING_TIMEOUT_S = 0.5
 
 
--- a/packages/core/nutmegchute_core/long_polls.py
+++ b/packages/core/nutmegchute_core/long_polls.py
@@ -114,8 +114,8 @@
         return replies
 
     def _is_confirmed(self, poll: PendingPoll, node: Node) -> bool:
-        # A leader that does not know that it was deposed would reply with an
-        # older tree, and a restarted entry would act on it.
+        # A leader that was deposed without noticing would reply with an older
+        # tree, and a restarted entry would act on it.
         if poll.read_round is not None:
             return node.replica.confirmed_round >= poll.read_round
         return poll.request.entry in node.machine.entries
--- a/packages/core/nutmegchute_core/messages.py
+++ b/packages/core/nutmegchute_core/messages.py
@@ -104,7 +104,7 @@
 
 
 class HandOver(msgspec.Struct, frozen=True, tag=True):
-    """Ask a follower to start an election at once (leadership transfer)."""
+    """Request an immediate election by a follower (leadership transfer)."""
 
     source: str
     target: str
@@ -112,7 +112,7 @@
 
 
 class Retire(msgspec.Struct, frozen=True, tag=True):
-    """Tell the leader that this voter is about to stop."""
+    """Notify the leader that this voter is about to stop."""
 
     source: str
     target: str
--- a/packages/core/nutmegchute_core/mirrors.py
+++ b/packages/core/nutmegchute_core/mirrors.py
@@ -44,7 +44,7 @@
         return self._epoch, self._generation
 
     def apply(self, delta: Delta, now: float) -> bool:
-        """Apply a delta; return whether it continues what is held."""
+        """Apply a delta; return False if it has another base."""
         if delta.base and (delta.epoch, delta.base) != self.watermark:
             # The delta has another base; the next request fetches all.
             self._generation = 0
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -19,8 +19,8 @@
 # busy replica and one retry.
 REACHABLE_S = 2.0
 # A replica counts as gone, and without entries, this long after its last
-# message: it stopped at most a hold after that, and its entries leave it
-# within 1.4 s of its end.
+# message: it stopped at most one hold after that message, and its entries
+# watch another replica within 1.4 s of its end.
 GONE_AFTER_S = 3.0
 # How long the mirror of a silent replica is served; entries drop its
 # endpoints then.
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -99,7 +99,7 @@
             pool.update(by_service.get(name, []), now)
 
     def evacuate(self, received: EvacuationUpdate, now: float) -> bool:
-        """Apply the evacuated availability zones; return if they are newer.
+        """Apply the evacuated zones; return whether they are newer.
 
         A replica that was frozen or partitioned may still send old ones.
         """
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -37,7 +37,7 @@
 TYPICAL_MAX_SHARE = 0.5
 MIN_RETRY_AFTER_S = 0.2
 # With an empty queue, a call was refused by endpoints that shed at random or
-# are draining, and slots are free at once; the pause lets entries learn of a
+# are draining, and slots are free at once; the pause lets entries receive a
 # change. With every endpoint shedding 45 of 100 calls, 0.90 of the calls meet
 # their objective in the worst two seconds, and 0.86 at 0.05 s.
 EMPTY_QUEUE_RETRY_S = 0.01
@@ -209,7 +209,7 @@
         self.planner.update(kept)
 
     def admit(self, call: Call, now: float) -> str | None:
-        """Earn tokens for extra sends; return why to refuse, if so."""
+        """Earn the call's extra tokens; return why to refuse it, or None."""
         if not call.is_retry:
             self._extra.earn()
         waiting = len(self.queue)
@@ -256,7 +256,7 @@
         return now >= self.latest_send_at(call)
 
     def unavailable(self, call: Call, now: float) -> Unavailable | None:
-        """Return why a queued call cannot be served, if so."""
+        """Return why a queued call cannot be served, or None."""
         if self.too_late(call, now):
             return Unavailable(TOO_LATE)
         return self.eligibility.unavailable(now)
@@ -311,10 +311,10 @@
         """Return whether a call may be sent to an endpoint now.
 
         Where endpoints report their load, the reports decide, unless none
-        could be queried for an ``exempt`` call. Otherwise the window stands
-        in for the unknown calls of other entries. A last slot, offered only
+        could be queried for an ``exempt`` call. Otherwise the window decides,
+        as the calls of other entries are unknown. A last slot, offered only
         when no other was found, is used by calls that meet their objective
-        there even at its lower speed; others would be late and wait.
+        even at its lower speed; others would be late there and wait.
         """
         slot = self.planner.slot_kind(address, now)
         if slot > NO_SLOT and self._should_yield(call, now):
@@ -530,7 +530,7 @@
     ) -> None:
         """Record "not run" from an endpoint that does not report its load.
 
-        It is taken to have all slots in use and calls waiting.
+        The endpoint is assumed to have all slots in use and calls waiting.
         """
         endpoint.record_load(endpoint.slots + endpoint.in_flight, now)
         self._record_overload(True, now)
--- a/packages/core/nutmegchute_core/probe_shares.py
+++ b/packages/core/nutmegchute_core/probe_shares.py
@@ -46,11 +46,11 @@
     Control replicas add up the call rates that entries report. The share is
     the rate that this entry reported, which is part of the sum, over the
     sum that its replica sent last; ``entries`` must never be too low. So
-    the shares of all entries add up to one, but for changes within a hold.
+    the shares of all entries add up to one, except for changes within a hold.
 
-    A replica that has just started knows a few entries only, and its sum
-    would give the first of them nearly the whole budget. So entries missing
-    from the sum are assumed to have as many calls as the others.
+    A replica that has just started has requests of only a few entries, and
+    its sum would give the first of them nearly the whole budget. So entries
+    missing from the sum are assumed to have as many calls as the others.
     """
 
     __slots__ = ("_counted", "_total", "reported")
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -57,9 +57,9 @@
 class Registry:
     """Hold the leases of endpoints and the history of their changes.
 
-    An instance may restart under its name. Each start is a process of its
-    own, to which nothing received about an earlier one applies. ``epoch``
-    must differ at every start of the replica.
+    An instance may restart under its name. Each start is a separate process;
+    messages about an earlier one do not apply to it. ``epoch`` must differ at
+    every start of the replica.
     """
 
     __slots__ = (
@@ -166,7 +166,7 @@
         self._change(process)
 
     def end(self, process: Process, now: float) -> bool:
-        """End a process for good; return whether this is a change."""
+        """End a process for good; return whether the registry changed."""
         if self.is_superseded(process):
             return False
         if self._history.has_ended(process):
--- a/packages/core/nutmegchute_core/replica_choosers.py
+++ b/packages/core/nutmegchute_core/replica_choosers.py
@@ -66,7 +66,7 @@
     def set_seeds(self, seeds: list[str]) -> None:
         """Replace the seeds by those of changed settings."""
         self._seeds = seeds
-        # All known replicas may be gone by now; the seeds know the new ones.
+        # All known replicas may be gone by now; the seeds have the new ones.
         known = {one.address for one in self._known}
         for address in seeds:
             if self._known and address not in known:
@@ -84,8 +84,9 @@
     def choose(self, now: float) -> str:
         """Return the replica to send the next request to.
 
-        If it is not the active one, it precedes that one or none is active.
-        It is probed without a hold and becomes active if it is in contact.
+        A replica other than the active one is returned if it precedes that
+        one or none is active. It is probed without a hold and becomes active
+        if it is in contact.
         """
         best: str | None = None
         for address in self.addresses:
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -41,7 +41,7 @@
 INITIAL_ELECTION_TIMEOUT_S = 0.02
 INITIAL_ELECTION_JITTER_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.2
-# After five missed heartbeats the leader is gone or the follower cut off.
+# After five missed heartbeats the leader has failed or is unreachable.
 LEADER_CONTACT_S = 5 * HEARTBEAT_INTERVAL_S
 
 FOLLOWER = "follower"
@@ -265,7 +265,7 @@
         return self._leadership.next_round
 
     def transfer_leadership(self, now: float) -> None:
-        """Ask the most up-to-date follower to start an election at once.
+        """Request an immediate election by the most up-to-date follower.
 
         Otherwise each planned restart of a leader would leave the group
         without one for an election timeout, as a crash does.
@@ -287,12 +287,12 @@
         return len(membership.voters) > MIN_VOTERS
 
     def retire(self, now: float) -> None:
-        """Ask the leader to replace this voter, which is about to stop.
+        """Request that the leader replace this voter, which is stopping.
 
         Otherwise the loss of another replica's disk while this one is down
-        would leave no majority, and for ever if this one never returned. A
-        leader transfers its leadership first. Callers repeat the call, since
-        the message may be lost.
+        would leave no majority, for ever if this one never returned. A leader
+        transfers its leadership first. Callers repeat the call, since the
+        message may be lost.
         """
         if self._leadership is not None:
             self.transfer_leadership(now)
@@ -381,8 +381,8 @@
 
     def _tick_leader(self, leadership: Leadership, now: float) -> None:
         if not leadership.has_quorum(now):
-            # A leader cut off from its quorum would go on accepting
-            # proposals that cannot commit, while the others elect.
+            # A leader partitioned from its quorum would go on accepting
+            # proposals that cannot commit, while the others elect another.
             self._step_down("quorum_lost", now)
             return
         if now >= self._heartbeat_at:
@@ -407,8 +407,8 @@
         self.reconfigure(change, now)
 
     def _start_pre_vote(self, now: float) -> None:
-        # A pre-vote, which does not raise the term, keeps a replica that
-        # was cut off or frozen from deposing a leader that works.
+        # A pre-vote, which does not raise the term, keeps a replica that was
+        # partitioned or frozen from deposing a working leader.
         self._step("timeout")
         self._leader = None
         self._votes = {self._identity}
--- a/packages/core/nutmegchute_core/rosters.py
+++ b/packages/core/nutmegchute_core/rosters.py
@@ -170,9 +170,9 @@
                 message.received_generation,
             )
         valid_at = peer.sent_at.get(message.acknowledged)
-        # A message that acknowledges none of ours may have been delayed for
-        # any time or be from an earlier run of the entry. Merged, it would
-        # bring back endpoints that have left.
+        # A message that acknowledges none of this entry's may have been
+        # delayed for any time or be from an earlier run of its sender. Merged,
+        # it would restore endpoints that have left.
         if valid_at is None:
             return None
         if peer.valid_at is not None and valid_at < peer.valid_at:
@@ -251,7 +251,7 @@
             return announcement
         # Draining is final within an incarnation: a delayed "up", or one
         # still gossiped by the entry from which the endpoint has moved,
-        # must not bring it back.
+        # must not revoke it.
         return msgspec.structs.replace(announcement, state=DRAINING)
 
     def _raise_floor(self, announcement: Announcement, now: float) -> None:
--- a/packages/core/nutmegchute_core/routes.py
+++ b/packages/core/nutmegchute_core/routes.py
@@ -73,8 +73,8 @@
         """Return the service of the next request.
 
         In any run of requests each part gets its share to within one or two
-        requests, so that splits hold even over the few of one entry. A random
-        choice would be off by five in a hundred requests.
+        requests, so that splits hold even for an entry with few requests. A
+        random choice would be off by five in a hundred requests.
         """
         if len(self._parts) == 1:
             return self._parts[0][0]
@@ -110,7 +110,7 @@
     """Build every route that a checked tree declares.
 
     ``phase`` is from 0 to 1 and differs between entries. If all of them began
-    a split with the same part, a quiet route would use only that part.
+    a split with the same part, a route with few requests would use only that.
     """
     routes = []
     for team in sorted(documents):
--- a/packages/core/nutmegchute_core/rules.py
+++ b/packages/core/nutmegchute_core/rules.py
@@ -154,7 +154,7 @@
 
     @property
     def connections(self) -> int | None:
-        """Return the most connections that an endpoint accepts in total."""
+        """Return the maximum number of connections to an endpoint in total."""
         return self._connections
 
     @property
--- a/packages/core/nutmegchute_core/sessions.py
+++ b/packages/core/nutmegchute_core/sessions.py
@@ -25,9 +25,9 @@
 SESSION_MARGIN_S = 0.8
 # How long after a reply a session without a new request expires. The entry is
 # gone, or its saturated link delays the reply. A drain is acknowledged within
-# 0.8 s or not at all and must not wait for it. Such an entry times out 1.4 s
-# after its request and watches another replica; an acknowledged drain binds
-# it only after 2 s.
+# 0.8 s or not at all, and must not wait for such an entry. The entry times out
+# 1.4 s after its request and watches another replica; an acknowledged drain
+# binds it only after 2 s.
 ANSWERED_MARGIN_S = 0.5
 # How long after its last request an entry counts among those that share the
 # budget of extra sends. Too high a count only leaves some of it unused.
@@ -191,7 +191,7 @@
     def release(self, name: str) -> None:
         """Close the session of an entry that watches another replica.
 
-        A session with a held watch stays open: the entry has come back.
+        A session with a held watch stays open: the entry has returned.
         """
         session = self._sessions.get(name)
         if session is not None and not session.held:
--- a/packages/core/nutmegchute_core/trials.py
+++ b/packages/core/nutmegchute_core/trials.py
@@ -9,7 +9,7 @@
 
 
 class Trials:
-    """Let one call of each suspect request a trial or run at a time."""
+    """Hold the calls of suspects; allow each suspect one trial at a time."""
 
     __slots__ = ("_active", "_held", "_requests")
 
@@ -72,7 +72,7 @@
         return list(calls.values())
 
     def remove_call(self, call: Call) -> None:
-        """Remove a call that has ended or whose trial has."""
+        """Remove a call that has ended or whose trial has ended."""
         self._drop_held(call)
         if self._active.get(call.key) == call.call_id:
             self._clear_request(call.key)
--- a/packages/core/nutmegchute_core/warmups.py
+++ b/packages/core/nutmegchute_core/warmups.py
@@ -1,9 +1,10 @@
 """Bound the rate of calls from all entries to a cold endpoint.
 
 An endpoint that has just started crashes under more than a few calls a
-second, and entries do not know of one another's calls. So only a few entries
-use each cold endpoint. Every entry determines them by hashing the names of all
-entries, and each keeps to a rate at which the sum stays within the bound.
+second, and entries are not informed of one another's calls. So only a few
+entries use each cold endpoint. Every entry determines them by hashing the
+names of all entries, and each keeps to a rate at which the sum stays within
+the bound.
 """
 
 import msgspec
@@ -54,7 +55,7 @@
 
 
 class GroupView:
-    """Hold a group and the members that it gives each cold process."""
+    """Hold a group and the members that may use each cold process."""
 
     __slots__ = ("_group", "_members", "replaced_at")
 
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -37,14 +37,14 @@
         if reply.index <= self._index:
             return False
         if reply.steps is not None:
-            return self._take_steps(reply.steps)
+            return self._apply_steps(reply.steps)
         if reply.documents is None:
             return False
         self._replace(reply.documents, reply.revisions)
         self._index = reply.index
         return True
 
-    def _take_steps(self, steps: list[Step]) -> bool:
+    def _apply_steps(self, steps: list[Step]) -> bool:
         index_before = self._index
         for step in steps:
             if step.index <= self._index:
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -198,7 +198,7 @@
         return self._long_polls.in_force(index, self.node, self._cluster.now)
 
     def receive_from(self, message: Message, sender: "FakeReplica") -> None:
-        """Handle a message; if the identity is outdated, tell the sender."""
+        """Handle a message; notify the sender if the identity is outdated."""
         if message.target != self._identity.identity:
             self._cluster.send(
                 self.name, sender.name, lambda: sender.introduce_to(self.name)
