--- a/packages/fakes/nutmegchute_fakes/soak.py
+++ b/packages/fakes/nutmegchute_fakes/soak.py
@@ -53,7 +53,7 @@
 from .evacuations import find_forbidden_runs
 from .faults import draw_schedule
 from .faults import Fault
-from .faults import Player
+from .faults import FaultInjector
 from .upstreams import CRASH_PATH
 
 ZONES = ["miraflores", "san-isidro", "surco"]
@@ -194,11 +194,11 @@
         return status is not None and len(status["upstreams"]) == UPSTREAMS
 
     def _play(self, faults: list[Fault]) -> None:
-        player = Player(self._cluster, faults, self._race)
+        injector = FaultInjector(self._cluster, faults, self._race)
         count = int(self._rate * (self._seconds + CALM_S))
         with ThreadPoolExecutor(CALLERS) as pool:
             started = time.monotonic()
-            playing = threading.Thread(target=player.run, daemon=True)
+            playing = threading.Thread(target=injector.run, daemon=True)
             playing.start()
             crashing = threading.Thread(target=self._crash, daemon=True)
             crashing.start()
@@ -335,7 +335,7 @@
             "crossed": verdict.crossed(),
             "false-not-run": verdict.false_not_run(),
             "crashed-on": find_late_crashes(crashes),
-            "evacuated": find_forbidden_runs(self._spans, runs),
+            "evacuated": find_forbidden_runs(self._evacuation_periods, runs),
         }
         for name, places in found.items():
             for place in places[:5]:
@@ -345,8 +345,8 @@
         return not any(found.values())
 
     @property
-    def _spans(self) -> list[EvacuationPeriod]:
-        return [] if self._evacuator is None else self._evacuator.spans
+    def _evacuation_periods(self) -> list[EvacuationPeriod]:
+        return [] if self._evacuator is None else self._evacuator.periods
 
     def _story(self, place: str) -> str:
         name = place.partition(".")[0]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -73,8 +73,8 @@
 
 def test_the_oracle_finds_what_runs_in_an_evacuated_zone() -> None:
     """Allow what runs before the bound, elsewhere or after the end."""
-    span = EvacuationPeriod("surco", 100.0)
-    span.ended_at = 120.0
+    period = EvacuationPeriod("surco", 100.0)
+    period.ended_at = 120.0
     late = 100.0 + MAX_EFFECT_DELAY_S + 1.0
     runs = [
         ("surco", 100.0 + MAX_EFFECT_DELAY_S - 1.0, "soon"),
@@ -82,5 +82,5 @@
         ("miraflores", late, "elsewhere"),
         ("surco", 121.0, "after"),
     ]
-    assert find_forbidden_runs([span], runs) == ["late"]
+    assert find_forbidden_runs([period], runs) == ["late"]
     assert find_forbidden_runs([], runs) == []
