--- a/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
+++ b/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
@@ -1,4 +1,4 @@
-"""Be an upstream that misbehaves on the wire, in a way that is chosen."""
+"""Fake upstreams that break the HTTP protocol in a chosen way."""
 
 import contextlib
 import socket
@@ -9,13 +9,13 @@
 CRLF = b"\r\n"
 BACKLOG = 64
 READ_BYTES = 65536
-LINGER_NOW = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
 class UpstreamConnection:
-    """Hold one connection of a upstream and read requests from it."""
+    """Read requests from one connection of an upstream and answer them."""
 
     __slots__ = ("_buffer", "_upstream", "_socket")
 
@@ -28,54 +28,56 @@
 
     @property
     def upstream(self) -> "FaultyUpstream":
-        """Give the upstream this connection belongs to."""
+        """Return the upstream that accepted this connection."""
         return self._upstream
 
     def read(self) -> bytes | None:
-        """Return the next whole request; none says the peer has closed."""
+        """Return the next complete request; None when the peer has closed."""
         head = self._read_until(CRLF + CRLF)
         if head is None:
             return None
         body: bytes | None = b""
-        fields = head.lower()
-        if b"transfer-encoding: chunked" in fields:
+        lower_head = head.lower()
+        if b"transfer-encoding: chunked" in lower_head:
             body = self._read_until(b"0\r\n\r\n")
-        elif b"content-length:" in fields:
-            length = int(fields.split(b"content-length:")[1].split(CRLF)[0])
+        elif b"content-length:" in lower_head:
+            length = int(
+                lower_head.split(b"content-length:")[1].split(CRLF)[0]
+            )
             body = self._read_exactly(length)
         if body is None:
             return None
-        self._upstream.note(head + body)
+        self._upstream.record_request(head + body)
         return head + body
 
     def read_head(self) -> bytes | None:
-        """Return the next request's head and leave its body unread."""
+        """Return the head of the next request and leave its body unread."""
         return self._read_until(CRLF + CRLF)
 
     def write(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Send bytes unchanged."""
         self._socket.sendall(data)
 
     def reset(self) -> None:
-        """Close with a reset in place of an end."""
+        """Close with a TCP reset instead of an orderly close."""
         self._socket.setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOW
+            socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
         )
         self._socket.close()
 
     def wait_for_close(self) -> None:
-        """Wait until the other side has closed the connection."""
+        """Wait until the peer has closed the connection."""
         with contextlib.suppress(OSError):
             while self._socket.recv(READ_BYTES):
                 pass
         self._upstream.peer_closed.set()
 
-    def _read_until(self, mark: bytes) -> bytes | None:
-        while mark not in self._buffer:
+    def _read_until(self, delimiter: bytes) -> bytes | None:
+        while delimiter not in self._buffer:
             if not self._fill():
                 return None
-        found, _, self._buffer = self._buffer.partition(mark)
-        return found + mark
+        found, _, self._buffer = self._buffer.partition(delimiter)
+        return found + delimiter
 
     def _read_exactly(self, length: int) -> bytes | None:
         while len(self._buffer) < length:
@@ -95,13 +97,13 @@
 
 
 class FaultyUpstream:
-    """Listen and treat each connection by a behaviour."""
+    """Accept connections and apply one behaviour to each."""
 
     def __init__(self, behaviour: Behaviour) -> None:
         self._behaviour = behaviour
         self._requests: list[bytes] = []
         self._connections = 0
-        # The other side has closed a connection; this side has.
+        # Set when the peer, or when this side, has closed a connection.
         self.peer_closed = threading.Event()
         self.connection_ended = threading.Event()
         self.release = threading.Event()
@@ -112,25 +114,25 @@
 
     @property
     def address(self) -> str:
-        """Give the address to send to."""
+        """Return the address to send to."""
         return f"127.0.0.1:{self._listener.getsockname()[1]}"
 
     @property
     def requests(self) -> list[bytes]:
-        """List the whole requests that came."""
+        """Return the complete requests received."""
         return self._requests
 
     @property
     def connections(self) -> int:
-        """Count the connections that came."""
+        """Return the number of connections accepted."""
         return self._connections
 
-    def note(self, request: bytes) -> None:
-        """Remember a request."""
+    def record_request(self, request: bytes) -> None:
+        """Record a complete request."""
         self._requests.append(request)
 
     def stop(self) -> None:
-        """Listen no more and let waiting behaviours go on."""
+        """Stop listening and release the behaviours that wait."""
         self.release.set()
         self._listener.close()
 
@@ -142,30 +144,30 @@
                 return
             self._connections += 1
             threading.Thread(
-                target=self._treat, args=(sock,), daemon=True
+                target=self._handle, args=(sock,), daemon=True
             ).start()
 
-    def _treat(self, sock: socket.socket) -> None:
+    def _handle(self, sock: socket.socket) -> None:
         with sock, contextlib.suppress(OSError):
             self._behaviour(UpstreamConnection(self, sock))
         self.connection_ended.set()
 
 
 def build_answer(body: bytes, *headers: bytes) -> bytes:
-    """Build a whole answer of known length."""
+    """Return a complete answer with its length."""
     length = b"Content-Length: %d\r\n" % len(body)
-    more = b"".join(header + CRLF for header in headers)
-    return OK + length + more + CRLF + body
+    lines = b"".join(header + CRLF for header in headers)
+    return OK + length + lines + CRLF + body
 
 
 def answer(connection: UpstreamConnection) -> None:
-    """Answer every request with its own target."""
+    """Answer every request with its target as body."""
     while (request := connection.read()) is not None:
         connection.write(build_answer(request.split(b" ")[1]))
 
 
 def shed(connection: UpstreamConnection) -> None:
-    """Say "not run" before running anything."""
+    """Report "not run" without running the request."""
     while connection.read() is not None:
         connection.write(
             b"HTTP/1.1 503 Shed\r\nNutmegchute-Not-Run: shed\r\n"
@@ -174,20 +176,20 @@
 
 
 def answer_marked_not_run(connection: UpstreamConnection) -> None:
-    """Say "not run" beside an answer that shows that it ran."""
+    """Report "not run" in an answer whose body shows that it ran."""
     while connection.read() is not None:
         connection.write(build_answer(b"lent", b"Nutmegchute-Not-Run: shed"))
 
 
 def reset_after_head(connection: UpstreamConnection) -> None:
-    """Reset the connection once the head is out."""
+    """Reset the connection after sending the head."""
     connection.read()
     connection.write(OK + b"Content-Length: 10\r\n\r\n")
     connection.reset()
 
 
 def reset_at_once(connection: UpstreamConnection) -> None:
-    """Reset the connection once the request is in."""
+    """Reset the connection after reading the request."""
     connection.read()
     connection.reset()
 
@@ -199,19 +201,19 @@
 
 
 def truncate_long_body(connection: UpstreamConnection) -> None:
-    """Close after the first part of a body too long to be held."""
+    """Close halfway through a body too long to be buffered."""
     connection.read()
     connection.write(OK + b"Content-Length: 400000\r\n\r\n" + b"x" * 200000)
 
 
 def truncate_chunks(connection: UpstreamConnection) -> None:
-    """Close after the first chunk, without the last one."""
+    """Close after the first chunk, without the terminating one."""
     connection.read()
     connection.write(OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhalf!\r\n")
 
 
 def answer_chunked(connection: UpstreamConnection) -> None:
-    """Answer in two whole chunks."""
+    """Answer with a complete body in two chunks."""
     while connection.read() is not None:
         connection.write(
             OK + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -220,33 +222,33 @@
 
 
 def answer_without_length(connection: UpstreamConnection) -> None:
-    """Answer without a length and close."""
+    """Answer without a length; the body ends when the connection does."""
     connection.read()
     connection.write(OK + CRLF + b"until the end")
 
 
 def answer_twice(connection: UpstreamConnection) -> None:
-    """Send a second answer that nobody asked for."""
+    """Send a second answer that belongs to no request."""
     while (request := connection.read()) is not None:
         own = build_answer(request.split(b" ")[1])
         connection.write(own + build_answer(b"/another-patron"))
 
 
 def send_early_hint(connection: UpstreamConnection) -> None:
-    """Send an interim answer before the true one."""
+    """Send an interim answer (103) before the final one."""
     while (request := connection.read()) is not None:
         connection.write(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
         connection.write(build_answer(request.split(b" ")[1]))
 
 
 def close_when_idle(connection: UpstreamConnection) -> None:
-    """Answer once, promise to go on, and close."""
+    """Answer once with keep-alive, then close the idle connection."""
     connection.read()
     connection.write(build_answer(b"once"))
 
 
 def reset_second_request(connection: UpstreamConnection) -> None:
-    """Answer once; close as soon as the second request arrives."""
+    """Answer once; reset the connection when a second request arrives."""
     connection.read()
     connection.write(build_answer(b"once"))
     connection.read()
@@ -254,13 +256,13 @@
 
 
 def never_answer(connection: UpstreamConnection) -> None:
-    """Take the request and say nothing until the other side closes."""
+    """Read the request and send nothing until the peer closes."""
     connection.read()
     connection.wait_for_close()
 
 
 def stop_answering(connection: UpstreamConnection) -> None:
-    """Answer well, and when released take requests and say nothing."""
+    """Answer until released; then read a request and send nothing."""
     while (request := connection.read()) is not None:
         if connection.upstream.release.is_set():
             connection.wait_for_close()
@@ -269,14 +271,14 @@
 
 
 def answer_late(connection: UpstreamConnection) -> None:
-    """Answer when released; the entry has given up by then."""
+    """Answer once released, when the entry no longer waits."""
     while (request := connection.read()) is not None:
         connection.upstream.release.wait()
         connection.write(build_answer(request.split(b" ")[1]))
 
 
 def trickle_head(connection: UpstreamConnection) -> None:
-    """Send the head one byte at a time, without end."""
+    """Send a head one byte at a time that never ends."""
     connection.read()
     connection.write(OK + b"X-Slow: ")
     while not connection.upstream.release.wait(0.02):
@@ -292,7 +294,7 @@
 
 
 def send_conflicting_lengths(connection: UpstreamConnection) -> None:
-    """Announce two different lengths."""
+    """Send two Content-Length headers that differ."""
     connection.read()
     connection.write(
         OK + b"Content-Length: 3\r\nContent-Length: 9\r\n\r\nabcdefghi"
@@ -300,6 +302,6 @@
 
 
 def fold_header(connection: UpstreamConnection) -> None:
-    """Fold a header so that a careless copy starts a second header."""
+    """Fold a header line, so that a careless copy adds a second header."""
     while connection.read() is not None:
         connection.write(build_answer(b"ok", b"X-Note: a\r\n Set-Cookie: b"))
--- a/packages/fakes/nutmegchute_fakes/proofs.py
+++ b/packages/fakes/nutmegchute_fakes/proofs.py
@@ -1,14 +1,15 @@
-"""Run the tests that prove what must always hold, point by point.
+"""Run the tests that prove each point that must always hold.
 
 Usage:
   proofs PAGE [--quiet]
 
 Options:
-  --quiet  Leave out pytest's own report.
+  --quiet  Omit the report of pytest.
 
-PAGE has a section for each point, titled "N. promise", that names the ids
-of its tests as ``tests/...::...``. A point holds when it names a test and
-all its tests were run and passed. The status is 0 when every point holds.
+PAGE has a section for each point, titled "N. promise", that lists the node
+ids of its tests as ``tests/...::...``. A point holds when it lists at least
+one test and all its tests ran and passed. The exit status is 0 when every
+point holds and pytest succeeds.
 """
 
 import re
@@ -20,62 +21,62 @@
 
 POINTS = 7
 TITLE = re.compile(r"^(\d+)\. .+\n[~=-]+$", re.MULTILINE)
-NODE = re.compile(r"``(tests/[\w/.]+::[\w:.\[\]-]+)``")
+NODE_ID = re.compile(r"``(tests/[\w/.]+::[\w:.\[\]-]+)``")
 PASSED = "passed"
 
 
 class OutcomeCollector:
-    """Collect each test's outcome from pytest."""
+    """Pytest plugin that collects the outcome of each test."""
 
     def __init__(self) -> None:
-        self._worst: dict[str, str] = {}
+        self._outcomes: dict[str, str] = {}
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Take a phase's outcome; a failure or skip in any phase stays."""
-        if self._worst.get(report.nodeid, PASSED) == PASSED:
-            self._worst[report.nodeid] = report.outcome
+        """Record the outcome of a phase; a failure or skip is kept."""
+        if self._outcomes.get(report.nodeid, PASSED) == PASSED:
+            self._outcomes[report.nodeid] = report.outcome
 
     def has_passed(self, node: str) -> bool:
-        """Tell whether a node's tests, at least one, all passed."""
+        """Return whether a node has tests and all of them passed."""
         outcomes = []
-        for name, outcome in self._worst.items():
+        for name, outcome in self._outcomes.items():
             if name == node or name.startswith((f"{node}[", f"{node}::")):
                 outcomes.append(outcome)
         return bool(outcomes) and set(outcomes) == {PASSED}
 
 
 def read_points(page: str) -> dict[int, list[str]]:
-    """Map each point to the ids of its tests."""
+    """Return the node ids of the tests of each point."""
     points: dict[int, list[str]] = {}
     titles = list(TITLE.finditer(page))
-    for place, title in enumerate(titles):
+    for index, title in enumerate(titles):
         end = len(page)
-        if place + 1 < len(titles):
-            end = titles[place + 1].start()
-        points[int(title.group(1))] = NODE.findall(page, title.end(), end)
+        if index + 1 < len(titles):
+            end = titles[index + 1].start()
+        points[int(title.group(1))] = NODE_ID.findall(page, title.end(), end)
     return points
 
 
 def check_points(
     points: dict[int, list[str]], outcomes: OutcomeCollector
 ) -> list[int]:
-    """List the points that hold, and say why others do not."""
+    """Return the points that hold; print why the others do not."""
     holding = []
     for point in range(1, POINTS + 1):
         nodes = points.get(point, [])
         if not nodes:
             print(f"point {point}: no test")
             continue
-        wrong = [node for node in nodes if not outcomes.has_passed(node)]
-        for node in wrong:
+        failed = [node for node in nodes if not outcomes.has_passed(node)]
+        for node in failed:
             print(f"point {point}: did not pass: {node}")
-        if not wrong:
+        if not failed:
             holding.append(point)
     return holding
 
 
 def main() -> int:
-    """Run the page's tests and count the points that hold."""
+    """Run the tests of the page and count the points that hold."""
     arguments = docopt(__doc__)
     points = read_points(Path(arguments["PAGE"]).read_text())
     nodes: list[str] = []
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""Make sure that the count of proofs can fail."""
+"""Check that points without passing tests are not counted."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -25,17 +25,17 @@
 """
 
 
-def outcomes(*reports: tuple[str, str]) -> OutcomeCollector:
-    """Build outcomes as pytest reports them."""
-    found = OutcomeCollector()
+def collect(*reports: tuple[str, str]) -> OutcomeCollector:
+    """Collect outcomes as pytest reports them."""
+    collector = OutcomeCollector()
     for node, outcome in reports:
         report: Any = SimpleNamespace(nodeid=node, outcome=outcome)
-        found.pytest_runtest_logreport(report)
-    return found
+        collector.pytest_runtest_logreport(report)
+    return collector
 
 
 def test_points_are_read() -> None:
-    """Find each point's tests on the page."""
+    """Find the tests of each point on the page."""
     assert read_points(PAGE) == {
         1: [
             "tests/test_a.py::test_one",
@@ -70,11 +70,11 @@
 ) -> None:
     """Count no point whose tests failed, were skipped or did not run."""
     points = {1: ["t::a", "t::b"]}
-    assert check_points(points, outcomes(*reports)) == ([1] if holds else [])
+    assert check_points(points, collect(*reports)) == ([1] if holds else [])
 
 
 def test_a_point_without_a_test_does_not_hold() -> None:
-    """Count no promise without a proof."""
+    """Count no point that lists no test."""
     assert (
-        check_points(dict.fromkeys(range(1, POINTS + 1), []), outcomes()) == []
+        check_points(dict.fromkeys(range(1, POINTS + 1), []), collect()) == []
     )
