--- a/packages/cli/nutmegchute_cli/changes.py
+++ b/packages/cli/nutmegchute_cli/changes.py
@@ -92,7 +92,7 @@
     answer = client.post("/changes", body, options.wait_s)
     if answer["outcome"] != ACCEPTED:
         raise RefusedError(_explain_refusal(client, answer, planned.changed))
-    print(f"accepted: {_revisions(answer['revisions'])}")
+    print(f"accepted: {_format_revisions(answer['revisions'])}")
     return _wait_until_in_force(client, answer["index"], options.wait_s)
 
 
@@ -170,6 +170,6 @@
     return f"{text}; check nutmegchute plan, then apply again"
 
 
-def _revisions(revisions: dict[str, int]) -> str:
+def _format_revisions(revisions: dict[str, int]) -> str:
     parts = [f"{team} {number}" for team, number in sorted(revisions.items())]
     return ", ".join(parts)
--- a/packages/cli/nutmegchute_cli/checks.py
+++ b/packages/cli/nutmegchute_cli/checks.py
@@ -53,7 +53,7 @@
     daemons: dict[Path, Settings] = {}
     for argument in options.texts("PATH"):
         documents: dict[str, Any] = {}
-        for path in _files(Path(argument)):
+        for path in _list_files(Path(argument)):
             _check_file(path, findings, daemons, documents)
         _check_branches(argument, documents, findings)
     _check_deployment(daemons, findings)
@@ -61,7 +61,7 @@
     return EXIT_USAGE if findings.has_errors else EXIT_DONE
 
 
-def _files(path: Path) -> list[Path]:
+def _list_files(path: Path) -> list[Path]:
     if not path.is_dir():
         return [path]
     found = sorted(path.glob("*.json"))
--- a/packages/cli/nutmegchute_cli/clients.py
+++ b/packages/cli/nutmegchute_cli/clients.py
@@ -44,7 +44,7 @@
         :raises RefusedError: the replica refused this operator
         :raises UnreachableError: no replica answered
         """
-        leader = self._leader()
+        leader = self._find_leader()
         candidates = [one for one in self._addresses if one != leader]
         if leader is not None:
             candidates.insert(0, leader)
@@ -56,7 +56,7 @@
 
     def get_from_leader(self, path: str) -> Any | None:
         """Query the leader; None if there is none or it does not answer."""
-        leader = self._leader()
+        leader = self._find_leader()
         return None if leader is None else self._get(leader, path)
 
     def statuses(self) -> dict[str, Any]:
@@ -73,7 +73,9 @@
         return found
 
     def post(self, path: str, body: Any, wait_s: float) -> Any:
-        """Send an idempotent request until its outcome is known.
+        """Send a request to the replicas in turn until its outcome is known.
+
+        The request must be idempotent, as it may be sent several times.
 
         :raises RefusedError: control refused the request
         :raises OutcomeUnknownError: it may have been accepted
@@ -92,7 +94,7 @@
                 if answer.status == OK:
                     return msgspec.json.decode(answer.data)
                 if answer.status in FINAL_STATUSES:
-                    raise RefusedError(_reason(answer))
+                    raise RefusedError(_format_reason(answer))
                 # 503 means that nothing was proposed. After any other
                 # status the change may be in the log.
                 reached = reached or answer.status != 503
@@ -106,7 +108,7 @@
             )
         raise self._unreachable()
 
-    def _leader(self) -> str | None:
+    def _find_leader(self) -> str | None:
         for address in self._addresses:
             status = self._get(address, "/status")
             if status is not None and status["state"] == "leader":
@@ -182,7 +184,7 @@
                 "stopped already"
             ) from error
         if answer.status != OK:
-            raise RefusedError(_reason(answer))
+            raise RefusedError(_format_reason(answer))
         return msgspec.json.decode(answer.data)
 
 
@@ -209,7 +211,7 @@
     except HTTPError:
         return None
     if answer.status in (401, 403):
-        raise RefusedError(_reason(answer))
+        raise RefusedError(_format_reason(answer))
     if answer.status != OK:
         return None
     return msgspec.json.decode(answer.data)
@@ -219,7 +221,7 @@
     return isinstance(error, urllib3.exceptions.NewConnectionError)
 
 
-def _reason(answer: urllib3.BaseHTTPResponse) -> str:
+def _format_reason(answer: urllib3.BaseHTTPResponse) -> str:
     text = answer.data.decode(errors="replace").strip()
     if not text or text.startswith("<"):
         text = answer.reason or ""
--- a/packages/cli/nutmegchute_cli/replicas.py
+++ b/packages/cli/nutmegchute_cli/replicas.py
@@ -14,12 +14,14 @@
 def run(options: Options) -> int:
     """Run the replicas command that was given."""
     if options.is_given("add"):
-        return _send(options, {"action": "add", **_member(options, "NAME")})
+        return _send(
+            options, {"action": "add", **_build_member(options, "NAME")}
+        )
     if options.is_given("remove"):
         name = options.text("NAME")
         return _send(options, {"action": "remove", "name": name})
     if options.is_given("replace"):
-        body = {"action": "replace", **_member(options, "NEW")}
+        body = {"action": "replace", **_build_member(options, "NEW")}
         return _send(options, {**body, "replaces": options.text("NAME")})
     found = options.control().get("/replicas")
     rows = list(found["replicas"])
@@ -31,7 +33,7 @@
     return EXIT_DONE
 
 
-def _member(options: Options, name: str) -> dict[str, str]:
+def _build_member(options: Options, name: str) -> dict[str, str]:
     return {
         "name": options.text(name),
         "grpc_address": options.text("GRPC_ADDRESS"),
@@ -40,8 +42,8 @@
 
 
 def _send(options: Options, body: dict[str, Any]) -> int:
-    # Sent only once, without retries: the request has no id, and a resend
-    # after a lost answer would be refused although the first succeeded.
+    # Not retried: unlike a change, the request has no id, and a resend after
+    # a lost answer would be refused although the first was applied.
     answer = options.control().post("/replicas", body, 0.0)
     if answer["outcome"] != ACCEPTED:
         raise RefusedError(f"{answer['outcome']}: {answer['detail']}")
--- a/packages/cli/nutmegchute_cli/summaries.py
+++ b/packages/cli/nutmegchute_cli/summaries.py
@@ -25,7 +25,7 @@
 }
 MAX_REASONS = 3
 MAX_ENDPOINTS = 5
-# A call that is first sent later than this counts as queued.
+# A call whose first send was later than this has waited for capacity here.
 WAIT_THRESHOLD_MS = 50.0
 
 
--- a/packages/cli/nutmegchute_cli/tables.py
+++ b/packages/cli/nutmegchute_cli/tables.py
@@ -22,7 +22,7 @@
         return
     table = [[column.upper() for column in columns]]
     for row in rows:
-        table.append([_cell(row.get(column)) for column in columns])
+        table.append([_format_cell(row.get(column)) for column in columns])
     widths = [max(map(len, column)) for column in zip(*table, strict=True)]
     for line in table:
         cells = [
@@ -31,7 +31,7 @@
         print(COLUMN_SEPARATOR.join(cells).rstrip())
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -267,7 +267,7 @@
         found: list[str] = answer.json()["addresses"]
         return found
 
-    def order(self, path: str, body: Any, number: int = 0) -> Any:
+    def post(self, path: str, body: Any, number: int = 0) -> Any:
         """Send an operator's request, following redirects to the leader."""
         return send_request(
             "POST", f"http://{self.control(number)}{path}", body
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -147,7 +147,7 @@
 
 
 def _accepted(site: Site, order: Any) -> bool:
-    answer = site.order("/Config.Replace", order)
+    answer = site.post("/Config.Replace", order)
     return answer is not None and answer.status == 200
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -181,11 +181,11 @@
     """Replace one route, remove another and keep the rest."""
     tree = tree_with_configuration()
     moved = {**ROUTE, "service": "shelf"}
-    order = encode_update(
+    update = encode_update(
         upsert={"virtualHosts": [{"hostname": "a.example", "paths": [moved]}]},
         remove={"routes": ["r-look"]},
     )
-    assert tree.apply(2, read_update(order, 0.0)).outcome == ACCEPTED
+    assert tree.apply(2, read_update(update, 0.0)).outcome == ACCEPTED
     found = read_back(tree)
     assert found["version"] == "r9"
     assert found["virtualHosts"] == [
@@ -201,11 +201,11 @@
     replica when a later change is in force already.
     """
     tree = tree_with_configuration()
-    order = encode_update(remove={"routes": ["r-look"]})
-    first = tree.apply(2, read_update(order, 1.0))
+    update = encode_update(remove={"routes": ["r-look"]})
+    first = tree.apply(2, read_update(update, 1.0))
     later = encode_configuration(version="r20", baseVersion="r9")
     assert tree.apply(3, read_configuration(later, 2.0)).outcome == ACCEPTED
-    assert tree.apply(4, read_update(order, 3.0)) == first
+    assert tree.apply(4, read_update(update, 3.0)) == first
     assert (
         tree.apply(5, read_configuration(encode_configuration(), 4.0)).outcome
         == ACCEPTED
@@ -274,8 +274,8 @@
     tree = tree_with_configuration()
     back = encode_configuration(version="r6", baseVersion="r7")
     assert tree.apply(2, read_configuration(back, 0.0)).outcome == INVALID
-    order = encode_update(remove={"services": ["desk"]})
-    assert tree.apply(3, read_update(order, 0.0)).outcome == INVALID
+    update = encode_update(remove={"services": ["desk"]})
+    assert tree.apply(3, read_update(update, 0.0)).outcome == INVALID
     assert read_back(tree)["version"] == "r7"
 
 
@@ -339,9 +339,9 @@
     for read in (partial(read_heartbeat, "i-1"), read_deregistration):
         with contextlib.suppress(msgspec.DecodeError):
             read(body)
-    for order in (read_configuration, read_update):
+    for parse in (read_configuration, read_update):
         with contextlib.suppress(DeclarationError):
-            order(body, 0.0)
+            parse(body, 0.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -95,9 +95,10 @@
     found = Site(tmp_path, 3, 2)
     found.start_all()
     try:
-        order = build_configuration(1, 0, LOAN, LOOK)
+        configuration = build_configuration(1, 0, LOAN, LOOK)
         wait_for(
-            lambda: _has_status(found.order("/Config.Replace", order)), "r1"
+            lambda: _has_status(found.post("/Config.Replace", configuration)),
+            "r1",
         )
         yield found
     finally:
@@ -158,14 +159,14 @@
             == 404
         )
         moved = {**LOOK, "service": "shelf"}
-        order = {
+        update = {
             "version": "r5",
             "baseVersion": "r1",
             "upsert": {"virtualHosts": [{"hostname": HOST, "paths": [moved]}]},
         }
         for number in range(3):
             # Each replica acknowledges the same request, applied once.
-            assert site.order("/Config.Update", order, number).status == 200
+            assert site.post("/Config.Update", update, number).status == 200
         for number in range(2):
             wait_for(
                 partial(_is_served_by_second, site, number),
@@ -229,9 +230,9 @@
         assert answer.status == status, url
         assert len(answer.json()["reason"].splitlines()) == 1
     back = build_configuration(1, 1, LOAN)
-    assert site.order("/Config.Replace", back).status == 400
+    assert site.post("/Config.Replace", back).status == 400
     old = build_configuration(9, 0, LOAN)
-    assert site.order("/Config.Replace", old).status == 412
+    assert site.post("/Config.Replace", old).status == 412
     url = f"http://{control}/Config.Read"
     assert send_request("GET", url).json()["version"] == "r1"
 
@@ -394,7 +395,8 @@
         # After a lost answer the same order is sent to another replica.
         for number in range(3):
             wait_for(
-                partial(_order_evacuation, site, number, "Begin"), "the order"
+                partial(_order_evacuation, site, number, "Begin"),
+                "evacuation begun",
             )
         time.sleep(1.0)
         before = here.ran.total()
@@ -410,10 +412,12 @@
             )
         assert here.ran.total() == before
         wait_for(
-            partial(_order_evacuation, site, 1, "Finish"), "the zone back"
+            partial(_order_evacuation, site, 1, "Finish"),
+            "evacuation finished",
         )
         wait_for(
-            lambda: _try_request(site, 0) and here.ran.total() > before, "it"
+            lambda: _try_request(site, 0) and here.ran.total() > before,
+            "zone served",
         )
     finally:
         heartbeats.stop()
@@ -527,7 +531,7 @@
             assert _has_status(site.request("/look/1", _next_name(), 0))
         assert sum(leaving.ran.values()) == before
         site.signal(site.routers[1], signal.SIGCONT)
-        wait_for(lambda: _try_request(site, 1), "awake")
+        wait_for(lambda: _try_request(site, 1), "resumed")
         before = sum(leaving.ran.values())
         for _ in range(20):
             assert _has_status(site.request("/look/1", _next_name(), 1))
@@ -557,9 +561,10 @@
 
     wait_for(has_three_voters, "three voters")
     site.kill(site.controls[1])
-    order = build_configuration(4, 1, LOOK)
+    configuration = build_configuration(4, 1, LOOK)
     wait_for(
-        lambda: _has_status(site.order("/Config.Replace", order, 2)), "decided"
+        lambda: _has_status(site.post("/Config.Replace", configuration, 2)),
+        "accepted",
     )
 
 
@@ -605,9 +610,9 @@
     heartbeats = HeartbeatSender(site, desk)
     try:
         _wait_until_served(site)
-        wait_for(lambda: len(site.resolve()) == 2, "both named")
+        wait_for(lambda: len(site.resolve()) == 2, "both listed")
         site.signal(site.routers[1], signal.SIGTERM)
-        wait_for(lambda: site.resolve() == [site.router(0)], "gone")
+        wait_for(lambda: site.resolve() == [site.router(0)], "delisted")
         statuses = []
         process = site.processes[site.routers[1]]
         while process.poll() is None:
