--- a/packages/cli/nutmegchute_cli/explanations.py
+++ b/packages/cli/nutmegchute_cli/explanations.py
@@ -25,11 +25,11 @@
 
 # Meaning of the outcomes that routers log.
 OUTCOMES = {
-    "finish": "an endpoint's answer was forwarded",
+    "finish": "an endpoint's answer was passed on",
     "refuse": "it did not run, and the answer said so",
     "reject": "no route matches it",
     "lose": "it may have run, and the answer said so",
-    "gone": "the caller disconnected before the answer",
+    "gone": "the caller left before there was an answer",
     "known": "its idempotency key was already used",
 }
 
--- a/packages/cli/nutmegchute_cli/replicas.py
+++ b/packages/cli/nutmegchute_cli/replicas.py
@@ -42,8 +42,9 @@
 
 
 def _send(options: Options, body: dict[str, Any]) -> int:
-    # Not retried: unlike a change, the request has no id, and a resend after
-    # a lost answer would be refused although the first was applied.
+    # Without a wait, each replica is tried at most once: unlike a change, the
+    # request has no id, and a resend after a lost answer would be refused
+    # although the first was applied.
     answer = options.control().post("/replicas", body, 0.0)
     if answer["outcome"] != ACCEPTED:
         raise RefusedError(f"{answer['outcome']}: {answer['detail']}")
