--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -95,9 +95,9 @@
         """Return the evacuated availability zones known to this entry."""
         return self._pools.evacuations
 
-    def drain_reports(self) -> list[Report]:
+    def pop_reports(self) -> list[Report]:
         """Remove and return the crash reports for control."""
-        return self._isolation.drain_reports()
+        return self._isolation.pop_reports()
 
     @property
     def in_flight(self) -> int:
--- a/packages/core/nutmegchute_core/directories.py
+++ b/packages/core/nutmegchute_core/directories.py
@@ -64,10 +64,10 @@
     ``phase``, from 0 to 1, offsets the choice from that of other entries.
     """
 
-    __slots__ = ("_credits", "_demand", "_entries", "_phase", "_self")
+    __slots__ = ("_credits", "_demand", "_entries", "_own_entry", "_phase")
 
-    def __init__(self, own: EntryInfo, phase: float = 0.0) -> None:
-        self._self = own
+    def __init__(self, own_entry: EntryInfo, phase: float = 0.0) -> None:
+        self._own_entry = own_entry
         self._phase = phase
         self._entries: dict[
             str, tuple[EntryInfo, dict[str, float], float]
@@ -79,7 +79,7 @@
         self, entry: EntryInfo, demand: dict[str, float], dated_at: float
     ) -> None:
         """Record an entry's description of itself as of ``dated_at``."""
-        if entry.name == self._self.name:
+        if entry.name == self._own_entry.name:
             return
         known = self._entries.get(entry.name)
         if known is None and len(self._entries) >= MAX_ENTRIES:
@@ -100,12 +100,14 @@
 
     def drain(self) -> None:
         """Mark this entry as draining."""
-        self._self = msgspec.structs.replace(self._self, draining=True)
+        self._own_entry = msgspec.structs.replace(
+            self._own_entry, draining=True
+        )
 
     @property
-    def own(self) -> EntryInfo:
+    def own_entry(self) -> EntryInfo:
         """Return the description of this entry."""
-        return self._self
+        return self._own_entry
 
     def demand(self, now: float) -> dict[str, float]:
         """Return the recent lookups at this entry, by the callers' zone."""
@@ -114,7 +116,7 @@
 
     def usable(self, now: float) -> list[EntryInfo]:
         """Return the entries that callers may use, sorted by name."""
-        entries = [] if self._self.draining else [self._self]
+        entries = [] if self._own_entry.draining else [self._own_entry]
         for entry, _, dated_at in self._entries.values():
             if entry.draining or now - dated_at > ENTRY_LEASE_S:
                 continue
--- a/packages/core/nutmegchute_core/discovery.py
+++ b/packages/core/nutmegchute_core/discovery.py
@@ -35,14 +35,14 @@
 class Discovery:
     """Combine a replica's registry, its entry sessions and its peers.
 
-    ``own`` is its gRPC address; ``epoch`` must differ at every start.
+    ``own_address`` is its gRPC address; ``epoch`` must differ at every start.
     """
 
     __slots__ = (
         "_awaited_generation",
         "_group",
         "_group_at",
-        "_own",
+        "_own_address",
         "_rotation",
         "_started_at",
         "peers",
@@ -50,8 +50,8 @@
         "sessions",
     )
 
-    def __init__(self, own: str, epoch: int, now: float) -> None:
-        self._own = own
+    def __init__(self, own_address: str, epoch: int, now: float) -> None:
+        self._own_address = own_address
         self._started_at = now
         self._awaited_generation = 0
         self._group = EntryGroup()
@@ -59,12 +59,12 @@
         self._rotation = 0
         self.registry = Registry(epoch)
         self.sessions = EntrySessions()
-        self.peers = Peers(own, now)
+        self.peers = Peers(own_address, now)
 
     @property
-    def own(self) -> str:
+    def own_address(self) -> str:
         """Return the gRPC address of this replica."""
-        return self._own
+        return self._own_address
 
     @property
     def watermark(self) -> Watermark:
@@ -100,7 +100,10 @@
 
     def has_changes(self, request: WatchRequest, now: float) -> bool:
         """Return whether any registry has changes for an entry."""
-        if request.watermarks.get(self._own, NO_WATERMARK) != self.watermark:
+        if (
+            request.watermarks.get(self._own_address, NO_WATERMARK)
+            != self.watermark
+        ):
             return True
         for address, mirror in self.peers.mirrors(now).items():
             if mirror.is_ahead_of(
@@ -112,9 +115,9 @@
     def deltas(self, request: WatchRequest, now: float) -> dict[str, Delta]:
         """Return the deltas that an entry lacks, by replica address."""
         found = {}
-        own = request.watermarks.get(self._own, NO_WATERMARK)
+        own = request.watermarks.get(self._own_address, NO_WATERMARK)
         if own != self.watermark:
-            found[self._own] = self.registry.since(*own, now)
+            found[self._own_address] = self.registry.since(*own, now)
         for address, mirror in self.peers.mirrors(now).items():
             watermark = request.watermarks.get(address, NO_WATERMARK)
             if mirror.is_ahead_of(watermark):
@@ -136,7 +139,7 @@
 
     def unreachable(self, request: WatchRequest, now: float) -> list[str]:
         """Return the replicas in an entry's watermarks that do not respond."""
-        responsive = {self._own, *self.peers.responsive_replicas(now)}
+        responsive = {self._own_address, *self.peers.responsive_replicas(now)}
         return [one for one in request.watermarks if one not in responsive]
 
     def build_request(
@@ -146,7 +149,7 @@
         peer = self.peers.find(address)
         applied = self.sessions.applied(now).values()
         return PeerRequest(
-            replica=self._own,
+            replica=self._own_address,
             watermark=NO_WATERMARK if peer is None else peer.mirror.watermark,
             sessions=0 if peer is None else peer.sessions,
             awaited_generation=0 if peer is None else peer.awaited_generation,
@@ -195,7 +198,7 @@
     def unconfirmed(self, generation: int, now: float) -> list[str]:
         """Return entries and peers that have not confirmed a generation."""
         watermark = (self.registry.epoch, generation)
-        entries = self.sessions.unconfirmed(self._own, watermark, now)
+        entries = self.sessions.unconfirmed(self._own_address, watermark, now)
         return [*entries, *self.peers.unconfirmed(generation, now)]
 
     def pending_confirmations(self, now: float) -> dict[str, Confirmation]:
@@ -216,7 +219,7 @@
             ):
                 continue
             found[address] = Confirmation(
-                self._own, epoch, peer.awaited_generation
+                self._own_address, epoch, peer.awaited_generation
             )
         return found
 
--- a/packages/core/nutmegchute_core/follow_protocol.py
+++ b/packages/core/nutmegchute_core/follow_protocol.py
@@ -129,7 +129,7 @@
 
 
 class TreeLease:
-    """Decide whether this entry may act on its tree.
+    """Decide whether this entry may route calls by its tree.
 
     It may while it holds a lease. Without one, a newer tree may be in force
     elsewhere, so the entry stops, unless more than half of all entries are
@@ -165,7 +165,7 @@
         """
         return now + HOLD_S + HOLD_MARGIN_S < self._lease_until
 
-    def may_act(self, now: float) -> bool:
+    def may_route(self, now: float) -> bool:
         """Return whether calls may be routed by the current tree."""
         if self.has_lease(now):
             return True
--- a/packages/core/nutmegchute_core/histories.py
+++ b/packages/core/nutmegchute_core/histories.py
@@ -72,7 +72,7 @@
         tombstone = self._tombstones.get(process)
         return tombstone is not None and tombstone.ended
 
-    def changed_in(self, process: Process) -> int:
+    def generation_of(self, process: Process) -> int:
         """Return the generation in which a process last changed, else 0."""
         tombstone = self._tombstones.get(process)
         if tombstone is not None:
--- a/packages/core/nutmegchute_core/isolations.py
+++ b/packages/core/nutmegchute_core/isolations.py
@@ -52,9 +52,9 @@
         """Return the log index of the last update from control."""
         return self._suspects.index
 
-    def drain_reports(self) -> list[Report]:
+    def pop_reports(self) -> list[Report]:
         """Return and clear the reports to control."""
-        return self._suspects.take_reports()
+        return self._suspects.pop_reports()
 
     def check(self, call: Call, now: float) -> Ruling:
         """Rule on a call; WAIT means that it needs a trial."""
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -93,7 +93,7 @@
         """Return the number of registered processes."""
         return len(self._records)
 
-    def present(self, now: float) -> list[Announcement]:
+    def list_announcements(self, now: float) -> list[Announcement]:
         """Return the announcements of the registered processes."""
         return [_with_cold_s(record, now) for record in self._records.values()]
 
@@ -105,9 +105,9 @@
         """Return whether a process is registered."""
         return process in self._records
 
-    def changed_in(self, process: Process) -> int:
+    def generation_of(self, process: Process) -> int:
         """Return the generation in which a process last changed, else 0."""
-        return self._history.changed_in(process)
+        return self._history.generation_of(process)
 
     def is_superseded(self, process: Process) -> bool:
         """Return whether a later start of the instance is known."""
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -86,7 +86,7 @@
         """Return whether any request may need a trial or be refused."""
         return bool(self._reported_cases or self._local_cases)
 
-    def take_reports(self) -> list[Report]:
+    def pop_reports(self) -> list[Report]:
         """Return and clear the reports to control."""
         reports, self._reports = self._reports, []
         return reports
--- a/packages/daemon/nutmegchute_daemon/__main__.py
+++ b/packages/daemon/nutmegchute_daemon/__main__.py
@@ -119,7 +119,7 @@
 
 
 def _log_lost_lines(sink: LineSink[Record]) -> None:
-    lost = sink.take_lost()
+    lost = sink.pop_lost_count()
     if lost:
         log(Event.LINES_LOST, "warning", lines=lost)
 
--- a/packages/daemon/nutmegchute_daemon/announcements.py
+++ b/packages/daemon/nutmegchute_daemon/announcements.py
@@ -187,7 +187,7 @@
     body = Body(http, MAX_ANNOUNCEMENT_BYTES)
     pieces = []
     try:
-        while not body.whole:
+        while not body.is_read:
             pieces.append(body.read(MAX_ANNOUNCEMENT_BYTES + 1))
     except BadBodyError as error:
         raise AnnouncementError(error.status, str(error)) from error
--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -135,7 +135,11 @@
             call, send.attempt, remaining_ms, send.instance
         )
         attempt_request = Request(
-            request.method, request.target, headers, request.body, request.rest
+            request.method,
+            request.target,
+            headers,
+            request.body,
+            request.remainder,
         )
         reply = self._sender.send(
             attempt_request, send.endpoint, send.remaining_s, exchange
@@ -155,7 +159,7 @@
         A body that is not buffered whole can be sent only once, so such a
         call is not hedged.
         """
-        if call.request.rest is None:
+        if call.request.remainder is None:
             self.attempt(call, send, exchange)
             return
         self._report_end(call, send, Reply(NOT_RUN_OUTCOME, 0.0))
@@ -223,8 +227,8 @@
     def _attempt(
         self, call: PendingCall, send: Send, exchange: Exchange
     ) -> Reply:
-        rest = call.request.rest
-        if rest is not None and rest.is_started:
+        remainder = call.request.remainder
+        if remainder is not None and remainder.is_started:
             # An earlier attempt has read the rest of the body from the
             # caller, so this attempt cannot be made and does not run.
             reply = Reply(NOT_RUN_OUTCOME, 0.0)
--- a/packages/daemon/nutmegchute_daemon/connections.py
+++ b/packages/daemon/nutmegchute_daemon/connections.py
@@ -142,7 +142,7 @@
                 return connection
             connection.close()
 
-    def open(self, endpoint: str, timeout_s: float) -> Connection:
+    def create(self, endpoint: str, timeout_s: float) -> Connection:
         """Build a connection that is not connected yet."""
         host, port = split_address(endpoint)
         return Connection(host, port, timeout=timeout_s)
--- a/packages/daemon/nutmegchute_daemon/consensus.py
+++ b/packages/daemon/nutmegchute_daemon/consensus.py
@@ -62,7 +62,7 @@
 class Consensus:
     """Replicate one log with the other control replicas.
 
-    ``spawn`` runs a coroutine until the daemon stops; ``changed`` is called
+    ``spawn`` runs a coroutine until the daemon stops; ``on_change`` is called
     when log entries were applied or a snapshot was restored.
     """
 
@@ -71,7 +71,7 @@
         settings: Settings,
         links: Links,
         spawn: Spawn,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         """Open the data folder and load the replica, if it has a group.
 
@@ -80,7 +80,7 @@
         self._loop = asyncio.get_running_loop()
         self._settings = settings
         self._spawn = spawn
-        self._changed = changed
+        self._on_change = on_change
         self._node: Node | None = None
         assert settings.data_folder is not None
         self._storage = open_storage(settings.data_folder)
@@ -91,7 +91,7 @@
         if identity.group is not None:
             self._node = self._load()
         self._problem: str | None = None
-        self._follows = FollowServer(
+        self._follow_server = FollowServer(
             self._loop, lambda: self._node, self._flush_soon
         )
         self._proposals = PendingProposals(self._loop)
@@ -108,7 +108,7 @@
             self._group.introduce_to,
         )
         links.serve(DELIVER, self._on_deliver)
-        links.serve(FOLLOW, self._follows.handle_request)
+        links.serve(FOLLOW, self._follow_server.handle_request)
         links.serve(CLAIM, self._on_claim)
 
     @property
@@ -122,9 +122,9 @@
         return self._storage
 
     @property
-    def follows(self) -> FollowServer:
+    def follow_server(self) -> FollowServer:
         """Return the server of the entries' long polls."""
-        return self._follows
+        return self._follow_server
 
     @property
     def problem(self) -> str | None:
@@ -179,7 +179,7 @@
         self._stopping = True
         if self._timer is not None:
             self._timer.cancel()
-        self._follows.redirect_all()
+        self._follow_server.redirect_all()
 
     def close(self) -> None:
         """Close the data folder."""
@@ -362,9 +362,9 @@
             self._proposals.resolve(decided)
         if flushed.restored:
             self._proposals.fail_all()
-        self._follows.advance(node)
+        self._follow_server.advance(node)
         if flushed.decided or flushed.restored:
-            self._changed()
+            self._on_change()
         leads = node.replica.state == LEADER
         self._log_leadership(node.replica.term if leads else None)
         self._quorum_report.update(node.replica, self._loop.time())
@@ -446,7 +446,7 @@
         self._problem = str(error)
         log(Event.STORAGE_FAILED, "error", problem=str(error))
         self._proposals.fail_all()
-        self._follows.reset()
+        self._follow_server.reset()
         self._log_leadership(None)
         await asyncio.sleep(RECOVER_PERIOD_S)
 
@@ -460,7 +460,7 @@
             await self._group.introduce(node.replica.membership.members)
         if not node.replica.is_ready:
             return
-        self._follows.withdraw_silent(node)
+        self._follow_server.withdraw_silent(node)
         try:
             await self._change_membership(node)
         except (NotLeaderError, ReconfigurationError, TimeoutError):
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -53,7 +53,7 @@
         settings = self._settings
         try:
             self._consensus = Consensus(
-                settings, self._links, self.spawn, self._changed
+                settings, self._links, self.spawn, self._on_change
             )
         except StorageError as error:
             raise StartError(f"data_folder: {error}") from error
@@ -129,7 +129,7 @@
         """Return the server of orders to evacuate availability zones."""
         return self._evacuations
 
-    def _changed(self) -> None:
+    def _on_change(self) -> None:
         self.registrar.notify_long_polls()
         self._peers.update_peers()
 
@@ -158,7 +158,7 @@
         }
         if leads:
             index = node.machine.tree.index
-            applied = self._consensus.follows.applied.values()
+            applied = self._consensus.follow_server.applied.values()
             found["entries_behind"] = sum(one < index for one in applied)
         return found
 
@@ -190,7 +190,7 @@
             "snapshot": node.replica.log.snapshot.index,
             "index": index,
             "entries": {
-                **self._consensus.follows.applied,
+                **self._consensus.follow_server.applied,
                 **self.registrar.applied(),
             },
             "enrolled": sorted(self.machine.entries),
@@ -223,4 +223,4 @@
         node = self._consensus.node
         if node is None or self.registrar.has_entry_behind(index):
             return False
-        return self._consensus.follows.in_force(index, node)
+        return self._consensus.follow_server.in_force(index, node)
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -242,7 +242,7 @@
                 self._settle(call, UNKNOWN)
                 self._metrics.count("unknown")
                 log(Event.CALL_LOST, "warning", reason=action.reason)
-        reports = self._balancer.drain_reports()
+        reports = self._balancer.pop_reports()
         if reports:
             self.on_reports(reports)
         self._schedule_wakeup()
--- a/packages/daemon/nutmegchute_daemon/endpoint_files.py
+++ b/packages/daemon/nutmegchute_daemon/endpoint_files.py
@@ -67,7 +67,7 @@
         if self._generation == self._registrar.generation:
             return
         self._generation = self._registrar.generation
-        data = msgspec.msgpack.encode(self._registrar.present())
+        data = msgspec.msgpack.encode(self._registrar.list_announcements())
         self._write_task = asyncio.ensure_future(self._write(data))
 
     async def _write(self, data: bytes) -> None:
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -179,7 +179,7 @@
 
     def open_call(self, call: PendingCall) -> None:
         """Admit a call; its actions are queued on it."""
-        if not self._follower.may_act():
+        if not self._follower.may_route():
             # The tree may have been superseded; another entry may have one
             # that is confirmed.
             call.put(Refuse(0, "configuration not confirmed", RETRY_S))
@@ -222,7 +222,7 @@
         if answer.outcome != FIRST:
             call.put(Known(0, answer.outcome, answer.status))
             return False
-        if self._follower.may_act():
+        if self._follower.may_route():
             return True
         self._settle(call, NOT_RUN)
         call.put(Refuse(0, "configuration not confirmed", RETRY_S))
@@ -274,7 +274,7 @@
     def status(self) -> dict[str, Any]:
         """Describe this entry to an operator."""
         return {
-            "entry": self._directory.own,
+            "entry": self._directory.own_entry,
             "entries": self._directory.usable(boot_time()),
             "index": self._follower.index,
             "revisions": self._follower.revisions,
--- a/packages/daemon/nutmegchute_daemon/exchanges.py
+++ b/packages/daemon/nutmegchute_daemon/exchanges.py
@@ -139,7 +139,7 @@
             self._remaining_bytes = None
 
     @property
-    def whole(self) -> bool:
+    def is_read(self) -> bool:
         """Return whether all of the body has been read."""
         return self._remaining_bytes == 0
 
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -91,9 +91,9 @@
         """Return whether a leader confirmed the tree within the lease."""
         return self._lease.has_lease(_clock())
 
-    def may_act(self) -> bool:
+    def may_route(self) -> bool:
         """Return whether calls may be routed by the current tree."""
-        return self.index > 0 and self._lease.may_act(_clock())
+        return self.index > 0 and self._lease.may_route(_clock())
 
     async def follow(self) -> None:
         """Send one request for a newer tree; the leader may hold it."""
@@ -218,7 +218,7 @@
                 Event.LEASE_EXPIRED,
                 "warning",
                 lease_s=TREE_LEASE_S,
-                acting=self.may_act(),
+                acting=self.may_route(),
             )
         else:
             log(Event.LEASE_RENEWED)
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -82,7 +82,7 @@
         now = boot_time()
         self._members.expire(now)
         self._directory.expire(now)
-        state = (self._members.generation, self._directory.own.draining)
+        state = (self._members.generation, self._directory.own_entry.draining)
         urgent = state != self._sent_state
         self._sent_state = state
         for address in self._peers():
@@ -137,7 +137,7 @@
     def _build_gossip(self, peer_name: str) -> Gossip:
         now = boot_time()
         return Gossip(
-            entry=self._directory.own,
+            entry=self._directory.own_entry,
             grpc_address=self._settings.grpc_address,
             demand=self._directory.demand(now),
             message=self._members.build_message(peer_name, now),
--- a/packages/daemon/nutmegchute_daemon/handlers.py
+++ b/packages/daemon/nutmegchute_daemon/handlers.py
@@ -18,7 +18,7 @@
 INTERNAL_ERROR = "500"
 
 
-class Scheduler(Protocol):
+class Runner(Protocol):
     """Schedule functions of page handlers on the event loop."""
 
     def schedule(self, function: Callable[..., Any], *args: Any) -> None:
@@ -37,7 +37,7 @@
     return html.unescape(message) + "\n"
 
 
-def require_operator(settings: Settings, runner: Scheduler) -> Operator:
+def require_operator(settings: Settings, runner: Runner) -> Operator:
     """Return the operator whose key the request has, or answer 401."""
     key = cherrypy.request.headers.get(OPERATOR_HEADER, "")
     operator = settings.find_operator(key)
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -17,7 +17,7 @@
 from .protocols import ATTEMPT_HEADER
 from .protocols import DEADLINE_HEADER
 from .protocols import KEY_HEADER
-from .senders import BodyRest
+from .senders import BodyRemainder
 from .senders import BUFFER_BYTES
 from .senders import connection_options
 from .senders import HOP_BY_HOP_HEADERS
@@ -105,8 +105,8 @@
     body = Body(http, body_bytes)
     prefix = _read_prefix(body, prefix_bytes)
     request = Request(http.method.decode(), target, headers, prefix)
-    if not body.whole:
-        request.rest = BodyRest(body.read)
+    if not body.is_read:
+        request.remainder = BodyRemainder(body.read)
     elif "content-length" in headers:
         del headers["Content-Length"]
     return request
@@ -115,7 +115,7 @@
 def _read_prefix(body: Body, size: int) -> bytes:
     pieces = []
     length = 0
-    while length < size and not body.whole:
+    while length < size and not body.is_read:
         piece = body.read(min(BUFFER_BYTES, size - length))
         pieces.append(piece)
         length += len(piece)
--- a/packages/daemon/nutmegchute_daemon/registrars.py
+++ b/packages/daemon/nutmegchute_daemon/registrars.py
@@ -79,12 +79,12 @@
 
     def __init__(
         self,
-        own: str,
+        own_address: str,
         in_contact: Callable[[], bool],
         node: Callable[[], Node | None],
     ) -> None:
         epoch = secrets.randbits(EPOCH_BITS)
-        self._discovery = Discovery(own, epoch, boot_time())
+        self._discovery = Discovery(own_address, epoch, boot_time())
         self._in_contact = in_contact
         self._node = node
         self._refusals = Refusals()
@@ -142,9 +142,9 @@
         """Return the registry's generation, which counts its changes."""
         return self._discovery.registry.generation
 
-    def present(self) -> list[Announcement]:
+    def list_announcements(self) -> list[Announcement]:
         """List the announcements registered here."""
-        return self._discovery.registry.present(boot_time())
+        return self._discovery.registry.list_announcements(boot_time())
 
     def restore_endpoints(self, announcements: list[Announcement]) -> None:
         """Restore the endpoints saved before this start."""
@@ -246,7 +246,7 @@
         # A replaced replica stays listed for a while. Endpoints directed to
         # it would lose a second before each announcement arrives.
         reachable = {
-            discovery.own,
+            discovery.own_address,
             *discovery.peers.reachable_replicas(boot_time()),
         }
         for member in node.replica.membership.members:
@@ -339,7 +339,7 @@
             replica is not in contact with a majority
         """
         discovery = self._discovery
-        generation = discovery.registry.changed_in(process)
+        generation = discovery.registry.generation_of(process)
         discovery.request_confirmation(generation)
         self._changes.notify(URGENT_GAP_S)
         deadline = boot_time() + CONFIRM_TIMEOUT_S
@@ -403,7 +403,7 @@
         if node is None:
             return False
         for member in node.replica.membership.members:
-            if member.grpc_address == self._discovery.own:
+            if member.grpc_address == self._discovery.own_address:
                 zone = request.entry.availability_zone
                 return member.availability_zone == zone
         return False
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -58,7 +58,7 @@
 _LINE_FOLD = re.compile(r"[\r\n]+[ \t]*")
 
 
-class BodyRest:
+class BodyRemainder:
     """Stream the rest of a long body as it arrives; it can be read once."""
 
     __slots__ = ("_read", "is_started")
@@ -83,10 +83,10 @@
     """Hold a request to be sent.
 
     ``body`` is the buffered beginning of the body and can be sent again;
-    ``rest``, if set, streams what follows and can be sent only once.
+    ``remainder``, if set, streams what follows and can be sent only once.
     """
 
-    __slots__ = ("body", "headers", "method", "rest", "target")
+    __slots__ = ("body", "headers", "method", "remainder", "target")
 
     def __init__(
         self,
@@ -94,23 +94,23 @@
         target: str,
         headers: HTTPHeaderDict,
         body: bytes = b"",
-        rest: BodyRest | None = None,
+        remainder: BodyRemainder | None = None,
     ) -> None:
         self.method = method
         self.target = target
         self.headers = headers
         self.body = body
-        self.rest = rest
+        self.remainder = remainder
 
     def pieces(self) -> bytes | Iterator[bytes] | None:
         """Return the body in the form that urllib3 expects."""
-        if self.rest is None:
+        if self.remainder is None:
             return self.body or None
-        return self._pieces(self.rest)
+        return self._pieces(self.remainder)
 
-    def _pieces(self, rest: BodyRest) -> Iterator[bytes]:
+    def _pieces(self, remainder: BodyRemainder) -> Iterator[bytes]:
         yield self.body
-        yield from rest
+        yield from remainder
 
 
 class Reply:
@@ -395,7 +395,7 @@
         A closed connection does not show that the endpoint's process ended:
         one that is full, or loses an answer, closes connections as well.
         """
-        connection = self._connections.open(endpoint, REFUSAL_TIMEOUT_S)
+        connection = self._connections.create(endpoint, REFUSAL_TIMEOUT_S)
         try:
             connection.connect()
         except NewConnectionError as error:
@@ -411,7 +411,7 @@
         if connection is not None:
             return connection
         timeout_s = max(MIN_TIMEOUT_S, min(CONNECT_TIMEOUT_S, remaining_s))
-        connection = self._connections.open(endpoint, timeout_s)
+        connection = self._connections.create(endpoint, timeout_s)
         try:
             connection.connect()
         except (HTTPError, OSError):
--- a/packages/daemon/nutmegchute_daemon/sinks.py
+++ b/packages/daemon/nutmegchute_daemon/sinks.py
@@ -76,7 +76,7 @@
             self._idle.clear()
         self._ready.set()
 
-    def take_lost(self) -> int:
+    def pop_lost_count(self) -> int:
         """Return how many lines were lost since the last call."""
         with self._lock:
             lost, self._lost = self._lost, 0
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -241,7 +241,7 @@
                 self._probe(entry, action)
             elif not isinstance(action, Cancel):
                 self._end(entry, action)
-        reports = balancer.drain_reports()
+        reports = balancer.pop_reports()
         if reports:
             self.reports += len(reports)
             self.schedule(
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -44,7 +44,7 @@
         for one in self.directories:
             demand = one.demand(self.now)
             for other in self.directories:
-                other.update(one.own, dict(demand), self.now)
+                other.update(one.own_entry, dict(demand), self.now)
 
     def round(self) -> None:
         """Let every caller look up entries once within KEEP_S."""
@@ -66,7 +66,7 @@
         for zone, kept in self.callers:
             for position in kept:
                 loads[position] += 1 / len(kept)
-                own = self.directories[position].own
+                own = self.directories[position].own_entry
                 if own.availability_zone == zone:
                     local += 1 / len(kept)
         mean = sum(loads) / ENTRIES
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -32,14 +32,14 @@
     asyncio.run(save_endpoints(disk, registrar()))
     after = registrar()
     EndpointFile(disk, after).load()
-    assert after.present() == [ENDPOINT]
+    assert after.list_announcements() == [ENDPOINT]
 
 
 def test_first_start_restores_nothing(tmp_path: Path) -> None:
     """A missing file is no error."""
     owner = registrar()
     EndpointFile(Disk(tmp_path), owner).load()
-    assert owner.present() == []
+    assert owner.list_announcements() == []
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1\x00", b"\x91\x01"])
@@ -48,7 +48,7 @@
     (tmp_path / ENDPOINTS_FILE).write_bytes(data)
     owner = registrar()
     EndpointFile(Disk(tmp_path), owner).load()
-    assert owner.present() == []
+    assert owner.list_announcements() == []
 
 
 def test_endpoints_register_while_the_disk_fails(
@@ -63,4 +63,4 @@
     owner = registrar()
     monkeypatch.setattr(Disk, "replace", refuse)
     asyncio.run(save_endpoints(disk, owner))
-    assert owner.present() == [ENDPOINT]
+    assert owner.list_announcements() == [ENDPOINT]
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -111,7 +111,7 @@
     harness.links.answer = lambda address, request: tree(5, current=False)
     harness.follow(3)
     assert harness.trees == []
-    assert not harness.follower.may_act()
+    assert not harness.follower.may_route()
 
 
 def test_lower_index_is_never_applied(harness: FollowerHarness) -> None:
@@ -229,7 +229,7 @@
     harness.now += TREE_LEASE_S + 1.0
     harness.follow()
     assert not harness.follower.has_lease
-    assert harness.follower.may_act()
+    assert harness.follower.may_route()
 
 
 def test_isolated_entry_stops(harness: FollowerHarness) -> None:
@@ -243,7 +243,7 @@
     harness.links.answer = lambda address, request: None
     harness.now += TREE_LEASE_S + 1.0
     harness.follow()
-    assert not harness.follower.may_act()
+    assert not harness.follower.may_route()
 
 
 @pytest.mark.parametrize(
@@ -257,5 +257,5 @@
     lease = TreeLease(others)
     for number in range(leaderless):
         lease.record_leaderless(f"entry-{number}", 100.0)
-    assert lease.may_act(100.0) is acts
-    assert lease.may_act(100.0 + TREE_LEASE_S + 1.0) is (others == 0)
+    assert lease.may_route(100.0) is acts
+    assert lease.may_route(100.0 + TREE_LEASE_S + 1.0) is (others == 0)
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -54,7 +54,7 @@
         """Hold a call and return it with its trial request."""
         call = self.call()
         assert self.isolation.hold(call, 0.0)
-        request = self.isolation.drain_reports()[-1]
+        request = self.isolation.pop_reports()[-1]
         assert isinstance(request, TrialRequest)
         return call, request
 
@@ -80,7 +80,7 @@
     harness.finish(call, LOST)
     harness.finish(harness.sent_call(), ANSWERED)
     assert harness.isolation.check(call, 0.0).outcome == FREE
-    assert harness.isolation.drain_reports() == []
+    assert harness.isolation.pop_reports() == []
 
 
 def test_crash_makes_a_suspect_before_control_replies() -> None:
@@ -89,11 +89,11 @@
     call = harness.sent_call()
     harness.finish(call, LOST, crashed=True)
     assert harness.isolation.check(call, 0.1).outcome == WAIT
-    reports = harness.isolation.drain_reports()
+    reports = harness.isolation.pop_reports()
     assert reports == [Crash(DESK, BAD, "i-1#0", 0, 0.1)]
     harness.finish(harness.sent_call(), ANSWERED)
     assert harness.isolation.check(call, 0.1).outcome == FREE
-    assert harness.isolation.drain_reports() == [Acquittal(DESK, BAD)]
+    assert harness.isolation.pop_reports() == [Acquittal(DESK, BAD)]
 
 
 def test_one_call_of_a_suspect_requests_a_trial() -> None:
@@ -104,7 +104,7 @@
     others = [harness.call() for _ in range(MAX_HELD - 1)]
     assert all(harness.isolation.hold(one, 0.0) for one in others)
     assert not harness.isolation.hold(harness.call(), 0.0)
-    assert harness.isolation.drain_reports() == []
+    assert harness.isolation.pop_reports() == []
     releases = harness.isolation.apply_ruling(request, Ruling(TRY), 0.0)
     assert [one.call for one in releases] == [first]
     assert first.trial_token == request.token
@@ -124,7 +124,7 @@
     # The trial was granted in the meantime and is returned unused.
     assert harness.isolation.apply_ruling(request, Ruling(TRY), 0.0) == []
     end = TrialEnd(DESK, BAD, request.token, False)
-    assert harness.isolation.drain_reports() == [end]
+    assert harness.isolation.pop_reports() == [end]
 
 
 def test_next_call_requests_a_trial_if_the_first_ends() -> None:
@@ -139,7 +139,7 @@
     assert due is not None
     assert due[1] == second.call_id
     harness.isolation.request_trial(second.key, 0.0)
-    assert isinstance(harness.isolation.drain_reports()[-1], TrialRequest)
+    assert isinstance(harness.isolation.pop_reports()[-1], TrialRequest)
 
 
 def test_entry_without_control_stops_after_three_crashes() -> None:
--- a/tests/test_registries.py
+++ b/tests/test_registries.py
@@ -68,7 +68,7 @@
     )
     assert registry.register(announcement("i1"), 6, 2.1) == STALE
     assert registry.register(announcement("i1"), 8, 2.2) == CHANGED
-    assert registry.present(0.0)[0].state == DRAINING
+    assert registry.list_announcements(0.0)[0].state == DRAINING
 
 
 def test_ended_instance_stays_ended() -> None:
@@ -332,7 +332,7 @@
     registry = Registry(1)
     registry.register(announcement("i1"), 1, 0.0)
     assert registry.register(announcement("i1", B), 2, 0.1) == FOREIGN
-    assert registry.present(0.0) == [announcement("i1")]
+    assert registry.list_announcements(0.0) == [announcement("i1")]
 
 
 def test_incarnation_is_pruned_with_its_process() -> None:
--- a/tests/test_sinks.py
+++ b/tests/test_sinks.py
@@ -32,7 +32,7 @@
     line = "x" * 1000
     for _ in range(3 * MAX_QUEUED_LINES):
         sink.put(line)
-    assert sink.take_lost() >= MAX_QUEUED_LINES
+    assert sink.pop_lost_count() >= MAX_QUEUED_LINES
     os.close(reading)
 
 
@@ -42,7 +42,7 @@
     sink = LineSink(writing, lambda: str, lambda: 5.0)
     for _ in range(MAX_LINES_PER_S + 7):
         sink.put("x")
-    assert sink.take_lost() == 7
+    assert sink.pop_lost_count() == 7
     sink.close()
     assert os.read(reading, 65536).count(b"x") == MAX_LINES_PER_S
 
@@ -58,7 +58,7 @@
     sink = LineSink(writing, lambda: str)
     sink.put("lost")
     sink.close()
-    assert sink.take_lost() == 1
+    assert sink.pop_lost_count() == 1
     reading, again = os.pipe()
     os.dup2(again, writing)
     sink.put("written")
@@ -77,7 +77,7 @@
     for number in range(4):
         sink.put(number)
     sink.close()
-    assert sink.take_lost() == 2
+    assert sink.pop_lost_count() == 2
     assert os.read(reading, 100) == b"0\n2\n"
 
 
