--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -96,7 +96,7 @@
         return self._pools.evacuations
 
     def pop_reports(self) -> list[Report]:
-        """Remove and return the crash reports for control."""
+        """Return and clear the reports to control."""
         return self._isolation.pop_reports()
 
     @property
@@ -453,7 +453,7 @@
         self._schedule_requery(pool, call, now)
 
     def _exempt_call(self, pool: Pool, call: Call) -> int | None:
-        """Return the call's id if it may be sent without a fresh report.
+        """Return the call's id if it may be sent without a current report.
 
         That is so only where no query is allowed at all. If the budget is
         used up for a moment, the call waits: calls sent without a report
@@ -541,7 +541,7 @@
         actions: list[Action],
         exempt: int | None = None,
     ) -> None:
-        """Send queued calls; ``exempt`` needs no fresh load report."""
+        """Send queued calls; ``exempt`` needs no current load report."""
         unplaced: list[Call] = []
         while len(unplaced) <= MAX_UNPLACED:
             call_id = pool.queue.peek(now)
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -173,7 +173,7 @@
         local_slot = NO_SLOT
         for endpoint in self._eligible(avoid, allow_trial, now):
             score = self.score(endpoint, now)
-            # An endpoint whose fresh report shows a free slot goes before
+            # An endpoint whose current report shows a free slot precedes
             # those whose load is only estimated.
             slot = self.slot_kind(endpoint, now)
             if (-slot, score) < (-best_slot, best_score):
--- a/packages/core/nutmegchute_core/histories.py
+++ b/packages/core/nutmegchute_core/histories.py
@@ -68,7 +68,7 @@
         self._tombstones: OrderedDict[Process, Tombstone] = OrderedDict()
 
     def has_ended(self, process: Process) -> bool:
-        """Return whether a process has ended for good."""
+        """Return whether a process has ended permanently."""
         tombstone = self._tombstones.get(process)
         return tombstone is not None and tombstone.ended
 
--- a/packages/core/nutmegchute_core/memberships.py
+++ b/packages/core/nutmegchute_core/memberships.py
@@ -11,7 +11,7 @@
 
     The identity is created with the data folder, so a replica that lost its
     disk returns under a new one: under the old one it could contradict votes
-    and acknowledgements that it no longer remembers.
+    and acknowledgements that were lost with the disk.
     """
 
     identity: str
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -267,7 +267,7 @@
         """Return whether to refuse a call that found no free slot.
 
         Under overload, calls that can meet their objective go first, and
-        most late ones wait for their deadline in vain. So a late call waits
+        most late ones are not sent before their deadline. So a late call waits
         only if it is alone in the queue, and a call that ``starts_waiting``
         is refused while a late one waits: it can still meet its objective
         on a retry, most often at another entry. With a third of the
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -166,7 +166,7 @@
         self._change(process)
 
     def end(self, process: Process, now: float) -> bool:
-        """End a process for good; return whether the registry changed."""
+        """End a process permanently; return whether the registry changed."""
         if self.is_superseded(process):
             return False
         if self._history.has_ended(process):
--- a/packages/core/nutmegchute_core/replicas.py
+++ b/packages/core/nutmegchute_core/replicas.py
@@ -163,7 +163,7 @@
     def is_ready(self) -> bool:
         """Return whether this leader committed an entry of its own term.
 
-        Only then does it know every entry committed in earlier terms.
+        Only then is it certain which entries of earlier terms are committed.
         """
         return (
             self._state == LEADER
