--- a/benchmarks/announcers.py
+++ b/benchmarks/announcers.py
@@ -1,11 +1,12 @@
-"""Announce many endpoints, as often as the entries ask for it.
+"""Announce many endpoints, at the interval that the entries request.
 
 Usage:
   announcers ADDRESSES FIRST STEP ENDPOINTS SERVICES
 
-Stands in for the upstreams of a large deployment: endpoints FIRST,
-FIRST + STEP and so on below ENDPOINTS, each to one entry of ADDRESSES.
-Ends at SIGTERM, and then prints by how much it was late at most.
+Simulates the upstreams of a large deployment: announces the endpoints FIRST,
+FIRST + STEP and so on below ENDPOINTS, each to one entry of ADDRESSES. Ends
+at SIGTERM and then prints the maximum lateness of an announcement, in
+seconds.
 """
 
 import signal
@@ -24,14 +25,20 @@
 
 
 class Announcer:
-    """Announce a share of the endpoints round by round."""
-
-    __slots__ = ("_addresses", "_late_s", "_pool", "_running", "_services")
+    """Announce a share of the endpoints in rounds."""
+
+    __slots__ = (
+        "_addresses",
+        "_max_lateness_s",
+        "_pool",
+        "_running",
+        "_services",
+    )
 
     def __init__(self, addresses: list[str], services: int) -> None:
         self._addresses = addresses
         self._services = services
-        self._late_s = 0.0
+        self._max_lateness_s = 0.0
         self._running = True
         self._pool = urllib3.PoolManager(
             num_pools=len(addresses),
@@ -41,19 +48,19 @@
         )
 
     @property
-    def late_s(self) -> float:
-        """Give the most that an announcement was late, in seconds."""
-        return self._late_s
+    def max_lateness_s(self) -> float:
+        """Return the maximum lateness of an announcement, in seconds."""
+        return self._max_lateness_s
 
-    def stop(self, number: int, frame: FrameType | None) -> None:
-        """End after the announcement under way."""
+    def stop(self, signal_number: int, frame: FrameType | None) -> None:
+        """Stop after the current announcement; handles a signal."""
         self._running = False
 
     def run(self, numbers: range) -> None:
         """Announce on several threads.
 
-        Upstreams wait for their own answers only; one thread would hold
-        all back behind the slowest, and leases would run out for that.
+        In one thread a slow answer would delay all other announcements, and
+        leases would expire. Real upstreams wait only for their own answers.
         """
         threads = []
         for first in range(THREADS):
@@ -73,7 +80,7 @@
                 refresh_s = self._announce(number)
                 due += refresh_s / len(numbers)
                 wait_s = due - time.monotonic()
-                self._late_s = max(self._late_s, -wait_s)
+                self._max_lateness_s = max(self._max_lateness_s, -wait_s)
                 if not self._running:
                     return
                 time.sleep(max(0.0, wait_s))
@@ -96,7 +103,7 @@
 
 
 def main() -> int:
-    """Announce until told to stop."""
+    """Announce until SIGTERM."""
     arguments = docopt(__doc__)
     announcer = Announcer(
         arguments["ADDRESSES"].split(","), int(arguments["SERVICES"])
@@ -106,7 +113,7 @@
     announcer.run(
         range(int(arguments["FIRST"]), int(arguments["ENDPOINTS"]), step)
     )
-    print(f"{announcer.late_s:.2f}")
+    print(f"{announcer.max_lateness_s:.2f}")
     return 0
 
 
--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -1,16 +1,16 @@
-"""Measure the memory of one entry under many long bodies at once.
+"""Measure the memory of one entry that receives many large bodies at once.
 
 Usage:
   bodies [--callers=N] [--mib=N]
 
 Options:
-  --callers=N  Callers that send at the same time [default: 50].
+  --callers=N  Number of concurrent callers [default: 50].
   --mib=N      Size of each body, in MiB [default: 16].
 
-An entry runs in a process of its own, with the threads that it has by
-default and routes of large bodies. The upstream stands in this process and
-reads each body to its end. The figure is the most memory that the entry's
-process had resident, before and after.
+The entry runs in its own process, with the default number of threads and with
+routes for large bodies. The upstream runs in this process and reads each body
+to its end. Printed is the maximum resident memory of the entry's process,
+before and after the calls.
 """
 
 import multiprocessing
@@ -32,11 +32,11 @@
 THREADS = 48
 SLOTS = 64
 DEADLINE_MS = 120000
-PIECE = b"x" * 65536
+CHUNK = b"x" * 65536
 
 
-def serve(upstream: str, body_bytes: int, pipe: Connection) -> None:
-    """Run an entry until told to stop; tell its address and memory."""
+def run_entry(upstream: str, body_bytes: int, pipe: Connection) -> None:
+    """Run an entry until "stop"; send its address, then its memory in MiB."""
     server = CallServer(
         [upstream], threads=THREADS, slots=SLOTS, deadline_ms=DEADLINE_MS
     )
@@ -49,7 +49,7 @@
 
 
 def upload(address: str, size: int, outcomes: Counter[str]) -> None:
-    """Send one body and count how its answer begins."""
+    """Send one body and count the start of its answer or the error."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=60.0) as caller:
         head = (
@@ -58,8 +58,8 @@
         )
         try:
             caller.sendall(head.encode())
-            for _ in range(size // len(PIECE)):
-                caller.sendall(PIECE)
+            for _ in range(size // len(CHUNK)):
+                caller.sendall(CHUNK)
             answer = caller.recv(12).decode()
         except OSError as error:
             answer = type(error).__name__
@@ -67,14 +67,14 @@
 
 
 def main() -> int:
-    """Run what the arguments ask for."""
+    """Run the command."""
     arguments: dict[str, Any] = docopt(__doc__)
     callers = int(arguments["--callers"])
     size = int(arguments["--mib"]) * MIB
     upstream = FaultyUpstream(faulty_upstreams.answer)
-    pipe, other = multiprocessing.Pipe()
+    pipe, child_pipe = multiprocessing.Pipe()
     entry = multiprocessing.get_context("spawn").Process(
-        target=serve, args=(upstream.address, size, other)
+        target=run_entry, args=(upstream.address, size, child_pipe)
     )
     entry.start()
     address = pipe.recv()
--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -4,7 +4,7 @@
   charts [--check]
 
 Options:
-  --check  Only tell whether the page is up to date.
+  --check  Only check that the page is up to date.
 """
 
 import importlib.resources
@@ -29,7 +29,7 @@
 
 
 def chart_names() -> list[str]:
-    """List the charts that ship with the core, by name."""
+    """Return the names of the charts in the core package."""
     found = []
     for file in importlib.resources.files(nutmegchute_core).iterdir():
         name = file.name
@@ -39,7 +39,7 @@
 
 
 def reachable(chart: Chart, start: str) -> list[str]:
-    """List the states that can follow a state, nearest first."""
+    """Return the states reachable from a state, nearest first."""
     found = [start]
     for state in found:
         for target in chart.states[state].values():
@@ -49,7 +49,7 @@
 
 
 def render(names: list[str]) -> str:
-    """Return the whole page."""
+    """Render the page of the named charts."""
     parts = [HEAD]
     for name in names:
         chart = load_chart(name)
@@ -77,13 +77,13 @@
     if not events:
         return [*box, ""]
     longest = max(len(event) for event, _ in events)
-    room = " " * len(box[0])
+    padding = " " * len(box[0])
     lines = [box[0]]
     for number, (event, target) in enumerate(events):
         if number == 0:
             left, stem = box[1], "--+--"
         else:
-            left = box[2] if number == 1 else room
+            left = box[2] if number == 1 else padding
             stem = "  +--"
         fill = "-" * (longest - len(event))
         lines.append(f"{left}{stem} {event} {fill}--> {target}")
@@ -93,7 +93,7 @@
 
 
 def main() -> int:
-    """Write the page, or check it."""
+    """Write or check the page."""
     arguments = docopt(__doc__)
     page = render(chart_names())
     if not arguments["--check"]:
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,14 +1,14 @@
-"""Measure what a claim in the ledger adds to a call, and what it keeps.
+"""Measure the latency and memory that a claim in the ledger costs.
 
 Usage:
   claims [--seconds=S] [--folder=PATH]
 
 Options:
   --seconds=S    Seconds per rate [default: 10].
-  --folder=PATH  Where the control replicas keep their data [default: .].
+  --folder=PATH  Parent of the replicas' data folders [default: .].
 
-Calls with and without an idempotency key take turns on the same path, so
-that a noisy neighbour hits both alike.
+Calls with and without an idempotency key alternate on the same path, so that
+a noisy neighbour affects both alike.
 """
 
 import sys
@@ -34,14 +34,14 @@
 ZONES = ["miraflores", "san-isidro", "surco"]
 RATES = (20, 100, 200)
 CALLERS = 24
-WARM_S = 1.0
+SETTLE_S = 1.0
 UPSTREAMS = 6
 MAX_US = 60_000_000
 RECORDS = 100_000
 
 
-class Run:
-    """Send calls of both kinds at one rate."""
+class CallRun:
+    """Send calls with and without a key at one rate."""
 
     def __init__(self, urls: list[str]) -> None:
         self._urls = urls
@@ -49,32 +49,32 @@
         self._histograms = [HdrHistogram(1, MAX_US, 3) for _ in range(2)]
         self.failed = 0
 
-    def shoot(self, number: int, due: float, counts: bool) -> None:
-        """Send one call, timed from when it was due."""
-        kind = number % 2
+    def send(self, number: int, due: float, is_measured: bool) -> None:
+        """Send one call; its latency counts from the due time."""
+        keyed = number % 2
         headers = {}
-        if kind:
+        if keyed:
             headers["Idempotency-Key"] = f"{time.time_ns()}-{number}"
         url = self._urls[number // 2 % len(self._urls)]
         answer = self._pool.request("POST", url, body=b"x", headers=headers)
         if answer.status != 200:
             self.failed += 1
-        if counts:
-            passed_us = max(1, int((time.monotonic() - due) * 1e6))
-            self._histograms[kind].record_value(passed_us)
+        if is_measured:
+            elapsed_us = max(1, int((time.monotonic() - due) * 1e6))
+            self._histograms[keyed].record_value(elapsed_us)
 
     def run(self, rate: int, seconds: float) -> None:
-        """Offer the rate for some seconds."""
+        """Send calls at a rate for some seconds."""
         started = time.monotonic()
         with ThreadPoolExecutor(CALLERS) as pool:
             for number in range(int(rate * seconds)):
                 due = started + number / rate
                 time.sleep(max(0.0, due - time.monotonic()))
-                counts = due - started > WARM_S
-                pool.submit(self.shoot, number, due, counts)
+                is_measured = due - started > SETTLE_S
+                pool.submit(self.send, number, due, is_measured)
 
     def report(self, rate: int) -> None:
-        """Print one line."""
+        """Print the percentiles and failures of a rate."""
         cells = []
         for percent in (50.0, 99.0):
             plain, keyed = (
@@ -86,30 +86,30 @@
 
 
 def measure_records() -> None:
-    """Print what records cost in memory and in a snapshot."""
+    """Print the size of records in memory and in a snapshot."""
     tracemalloc.start()
     ledger = Ledger()
     for number in range(RECORDS // 100):
         claims = []
-        for place in range(100):
-            name = (number * 100 + place).to_bytes(16, "big")
-            token = 2**61 + number * 100 + place
+        for offset in range(100):
+            name = (number * 100 + offset).to_bytes(16, "big")
+            token = 2**61 + number * 100 + offset
             claims.append(Claim(name, name[::-1], token))
         ledger.apply(ClaimBatch(0.01, ClaimRequest(claims, [])))
-    held = tracemalloc.get_traced_memory()[0]
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     started = time.perf_counter()
     data = msgspec.msgpack.encode(ledger.snapshot())
-    took_ms = (time.perf_counter() - started) * 1000
+    encode_ms = (time.perf_counter() - started) * 1000
     print(
-        f"{RECORDS} keys: {held / RECORDS:.0f} bytes each in memory, "
+        f"{RECORDS} keys: {memory_bytes / RECORDS:.0f} bytes each in memory, "
         f"{len(data) / RECORDS:.0f} in a snapshot, which takes "
-        f"{took_ms:.0f} ms"
+        f"{encode_ms:.0f} ms"
     )
 
 
 def main() -> int:
-    """Measure every rate."""
+    """Measure all rates; return 1 if a call failed."""
     arguments = docopt(__doc__)
     measure_records()
     failed = 0
@@ -139,7 +139,7 @@
                 "             p50 ms: plain, keyed, added   p99 ms: the same"
             )
             for rate in RATES:
-                run = Run(urls)
+                run = CallRun(urls)
                 run.run(rate, float(arguments["--seconds"]))
                 run.report(rate)
                 failed += run.failed
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""Measure the control role: changes, failover, restart, idle costs.
+"""Measure changes, failover, restart and idle cost of the control role.
 
 Usage:
   control [--seconds=S]
@@ -6,8 +6,9 @@
 Options:
   --seconds=S  Seconds per idle window [default: 4].
 
-Three real replicas on loopback with fsync on this machine's disk; entries
-are stood in for by the daemon's own followers, each with its connection.
+Runs three real replicas on loopback, with fsync on this machine's disk.
+Entries are simulated by the daemon's follower code, each with its own
+connection.
 """
 
 import asyncio
@@ -39,25 +40,25 @@
 
 from .costs import measure
 
-FOLLOWERS = (16, 200)
+FOLLOWER_COUNTS = (16, 200)
 IN_FORCE_CHANGES = 30
 WRITERS = 16
 WRITE_S = 2.5
 FAILOVERS = 2
-# Half a snapshot's worth beyond, which a restart has to replay.
-RESTARTS = (1500, 10500)
-# 31 services of 8 teams; a change is of one team.
+# Each leaves half a snapshot interval of log entries for a restart to replay.
+RESTART_CHANGES = (1500, 10500)
+# 31 services of 8 teams; a change affects one team.
 SERVICES = 31
 TEAMS = 8
 TEAM_SERVICES = 4
-BATCH = 50
+FLUSH_EVERY = 50
 # 1,100 changes a day.
 CHANGE_EVERY_S = 86400 / 1100
 SETTLE_S = 2.0
 
 
 def document(number: int, services: int = 1, prefix: str = "s") -> Any:
-    """Build a team's document; the number makes it differ."""
+    """Build a team's document; ``number`` varies the content."""
     rule = {
         "name": "lookup",
         "idempotent": True,
@@ -84,7 +85,7 @@
         self._sent = 0
 
     def change(self, leader: Process, team: str, body: Any) -> int:
-        """Change a branch at the leader; return the index."""
+        """Send a change of a branch to the leader; return its log index."""
         self._sent += 1
         base = self._revisions.get(team, 0)
         answer = self._pool.request(
@@ -106,14 +107,14 @@
         self._revisions[team] = found["revisions"][team]
         return int(found["index"])
 
-    def in_force(self, leader: Process, index: int) -> bool:
-        """Ask whether an index is in force everywhere."""
+    def is_in_force(self, leader: Process, index: int) -> bool:
+        """Return whether a log index is in force at all entries."""
         status = self._cluster.fetch(leader)
         return bool(status and status["index"] >= index and status["in_force"])
 
 
 class Followers:
-    """Run stand-in entries on a loop of their own."""
+    """Simulate the followers of many entries on one event loop."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._peers = cluster.peers
@@ -122,16 +123,16 @@
         thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         thread.start()
 
-    def grow(self, number: int) -> None:
-        """Start followers until there are so many."""
+    def start_up_to(self, number: int) -> None:
+        """Start followers until there are ``number``."""
         while len(self._followers) < number:
             name = f"stand-in-{len(self._followers)}"
             asyncio.run_coroutine_threadsafe(
                 self._start(name), self._loop
             ).result()
 
-    def caught_up(self, index: int) -> bool:
-        """Tell whether every follower has an index."""
+    def are_caught_up(self, index: int) -> bool:
+        """Return whether every follower has a log index."""
         return all(one.index >= index for one in self._followers)
 
     async def _start(self, name: str) -> None:
@@ -158,8 +159,8 @@
     assert reply.documents is not None
 
 
-class Bench:
-    """Run all measurements on one group."""
+class GroupBenchmark:
+    """Run all measurements on one group of replicas."""
 
     def __init__(self, folder: Path, seconds: float) -> None:
         self._folder = folder
@@ -170,26 +171,26 @@
         self.failover_s = 0.0
 
     def run(self) -> None:
-        """Measure; the group is stopped whatever happens."""
+        """Run the measurements and stop the group in any case."""
         (self._folder / "group").mkdir()
         try:
             self._cluster.start(controls=3, entries=0)
             self._operators = Operators(self._cluster)
             self._followers = Followers(self._cluster)
             for team in range(TEAMS):
-                first = self._plan(team, 0)
-            for number in FOLLOWERS:
-                self._followers.grow(number)
+                first = self._change_plan(team, 0)
+            for number in FOLLOWER_COUNTS:
+                self._followers.start_up_to(number)
                 self._wait_in_force(first)
                 time.sleep(SETTLE_S)
-                self._idle(number)
-            self._in_force()
-            self._write()
-            self._fail_over()
+                self._measure_idle(number)
+            self._measure_in_force()
+            self._measure_writes()
+            self._measure_failover()
         finally:
             self._cluster.stop()
 
-    def _plan(self, team: int, number: int) -> int:
+    def _change_plan(self, team: int, number: int) -> int:
         name = f"plan-{team}"
         return self._change(name, document(number, TEAM_SERVICES, name))
 
@@ -205,17 +206,17 @@
     def _wait_in_force(self, index: int) -> None:
         leader = self._leader()
         self._cluster.wait_for(
-            "in force", lambda: self._operators.in_force(leader, index)
+            "in force", lambda: self._operators.is_in_force(leader, index)
         )
         self._cluster.wait_for(
-            "the stand-ins", lambda: self._followers.caught_up(index)
+            "the followers", lambda: self._followers.are_caught_up(index)
         )
 
-    def _idle(self, followers: int) -> None:
+    def _measure_idle(self, followers: int) -> None:
         leader = self._leader()
         for pace in ("idle", "1 change in the window"):
             if pace != "idle":
-                threading.Timer(1.0, self._plan, (0, followers)).start()
+                threading.Timer(1.0, self._change_plan, (0, followers)).start()
             costs = measure(
                 self._cluster.controls,
                 set(self._cluster.grpc_ports),
@@ -225,8 +226,12 @@
                 idle = costs[leader.name]
             else:
                 extra = costs[leader.name].wire_bps - idle.wire_bps
-                paced = idle.wire_bps + extra * self._seconds / CHANGE_EVERY_S
-                print(f"{followers} entries, at pace: wire {paced:.0f} B/s")
+                at_pace_bps = (
+                    idle.wire_bps + extra * self._seconds / CHANGE_EVERY_S
+                )
+                print(
+                    f"{followers} entries, at pace: wire {at_pace_bps:.0f} B/s"
+                )
             for process in self._cluster.controls:
                 cost = costs[process.name]
                 role = "leader" if process is leader else "follower"
@@ -236,68 +241,73 @@
                     f"wire {cost.wire_bps:.0f} B/s, "
                     f"memory {cost.memory_mb:.0f} MB"
                 )
-            if followers == FOLLOWERS[0] and pace == "idle":
+            if followers == FOLLOWER_COUNTS[0] and pace == "idle":
                 worst = costs.values()
                 self.idle_percent = max(one.cpu_percent for one in worst)
                 self.idle_bps = max(one.wire_bps for one in worst)
 
-    def _in_force(self) -> None:
+    def _measure_in_force(self) -> None:
         leader = self._leader()
-        spans = []
+        durations_s = []
         for number in range(IN_FORCE_CHANGES):
             body = document(number, TEAM_SERVICES, "plan-1")
             started = time.perf_counter()
             index = self._operators.change(leader, "plan-1", body)
-            while not self._operators.in_force(leader, index):
+            while not self._operators.is_in_force(leader, index):
                 time.sleep(0.005)
-            spans.append(time.perf_counter() - started)
+            durations_s.append(time.perf_counter() - started)
             time.sleep(0.02)
-        _print_spans(f"in force at {FOLLOWERS[-1]} entries", spans)
+        _print_percentiles(
+            f"in force at {FOLLOWER_COUNTS[-1]} entries", durations_s
+        )
 
-    def _write(self) -> None:
+    def _measure_writes(self) -> None:
         leader = self._leader()
         end = time.perf_counter() + WRITE_S
 
         def write(team: str) -> list[float]:
-            spans: list[float] = []
+            durations_s: list[float] = []
             while time.perf_counter() < end:
-                body = document(len(spans), 1, f"{team}-")
+                body = document(len(durations_s), 1, f"{team}-")
                 started = time.perf_counter()
                 self._operators.change(leader, team, body)
-                spans.append(time.perf_counter() - started)
-            return spans
+                durations_s.append(time.perf_counter() - started)
+            return durations_s
 
         for writers in (1, WRITERS):
             end = time.perf_counter() + WRITE_S
             teams = [f"w{writers}-{one}" for one in range(writers)]
             with ThreadPoolExecutor(writers) as pool:
-                parts = list(pool.map(write, teams))
-            spans = [span for part in parts for span in part]
-            print(f"{writers} writers: {len(spans) / WRITE_S:.0f} changes/s")
-            _print_spans(f"accepted, {writers} writers", spans)
+                results = list(pool.map(write, teams))
+            durations_s = [one for result in results for one in result]
+            print(
+                f"{writers} writers: "
+                f"{len(durations_s) / WRITE_S:.0f} changes/s"
+            )
+            _print_percentiles(f"accepted, {writers} writers", durations_s)
 
-    def _fail_over(self) -> None:
+    def _measure_failover(self) -> None:
         killed = []
         stopped = []
         for number in range(FAILOVERS):
-            killed.append(self._lose_leader(signal.SIGKILL, 2 * number))
-            stopped.append(self._lose_leader(signal.SIGTERM, 2 * number + 1))
+            killed.append(self._stop_leader(signal.SIGKILL, 2 * number))
+            stopped.append(self._stop_leader(signal.SIGTERM, 2 * number + 1))
         self.failover_s = max(killed)
-        for name, spans in (("killed", killed), ("stopped", stopped)):
-            shown = ", ".join(f"{one:.2f}" for one in spans)
+        for name, durations_s in (("killed", killed), ("stopped", stopped)):
+            shown = ", ".join(f"{one:.2f}" for one in durations_s)
             print(f"leader {name}, until a change is accepted: {shown} s")
 
-    def _lose_leader(self, how: int, number: int) -> float:
+    def _stop_leader(self, signal_number: int, number: int) -> float:
         leader = self._leader()
         started = time.perf_counter()
-        leader.signal(how)
+        leader.signal(signal_number)
         while not self._try_change(number):
             time.sleep(0.01)
-        span = time.perf_counter() - started
+        duration_s = time.perf_counter() - started
         leader.wait()
         leader.restart()
         time.sleep(1.5)
-        return span
+        return duration_s
 
     def _try_change(self, number: int) -> bool:
         leader = self._cluster.leader()
@@ -312,8 +322,8 @@
         return True
 
 
-def restart(folder: Path, changes: int) -> float:
-    """Return the seconds from start to leading, after many changes."""
+def measure_restart(folder: Path, changes: int) -> float:
+    """Return the seconds from start to leadership after many changes."""
     folder.mkdir()
     cluster = Cluster(folder, ["a"])
     cluster.start(controls=1, entries=0)
@@ -341,10 +351,10 @@
                 checked=True,
             )
         )
-        if number % BATCH == BATCH - 1:
+        if number % FLUSH_EVERY == FLUSH_EVERY - 1:
             node.flush()
     node.flush()
-    made_s = time.perf_counter() - started
+    setup_s = time.perf_counter() - started
     index = node.machine.tree.index
     storage.close()
     size = sum(one.stat().st_size for one in data.iterdir())
@@ -352,24 +362,24 @@
     try:
         process.restart()
 
-        def ready() -> bool:
+        def is_ready() -> bool:
             found = cluster.fetch(process) or {}
             leads = found.get("state") == "leader"
             return leads and found.get("index") == index
 
-        cluster.wait_for("a leader with every change", ready)
-        span = time.perf_counter() - started
+        cluster.wait_for("a leader with every change", is_ready)
+        duration_s = time.perf_counter() - started
     finally:
         cluster.stop()
     print(
-        f"restart after {changes}: {span:.2f} s, folder "
-        f"{size / 1e6:.1f} MB (made in {made_s:.1f} s)"
+        f"restart after {changes}: {duration_s:.2f} s, folder "
+        f"{size / 1e6:.1f} MB (made in {setup_s:.1f} s)"
     )
-    return span
+    return duration_s
 
 
-def _print_spans(name: str, spans: list[float]) -> None:
-    ordered = sorted(spans)
+def _print_percentiles(name: str, durations_s: list[float]) -> None:
+    ordered = sorted(durations_s)
     last = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
     print(
         f"{name}: p50 {1000 * median(ordered):.1f} ms, "
@@ -378,19 +388,21 @@
 
 
 def main() -> int:
-    """Measure everything and print the closing line."""
+    """Run all measurements and print the summary line."""
     arguments = docopt(__doc__)
     configure_logs("error", "bench")
     with tempfile.TemporaryDirectory(prefix="nutmegchute-") as name:
         folder = Path(name)
-        bench = Bench(folder, float(arguments["--seconds"]))
-        bench.run()
-        spans = [restart(folder / f"r{one}", one) for one in RESTARTS]
+        benchmark = GroupBenchmark(folder, float(arguments["--seconds"]))
+        benchmark.run()
+        durations_s = [
+            measure_restart(folder / f"r{one}", one) for one in RESTART_CHANGES
+        ]
     print(
-        f"control failover {bench.failover_s:.2f} s, "
-        f"restart-10k {spans[-1]:.2f} s, "
-        f"idle core share {bench.idle_percent:.2f} %, "
-        f"bytes/s {bench.idle_bps:.0f}"
+        f"control failover {benchmark.failover_s:.2f} s, "
+        f"restart-10k {durations_s[-1]:.2f} s, "
+        f"idle core share {benchmark.idle_percent:.2f} %, "
+        f"bytes/s {benchmark.idle_bps:.0f}"
     )
     return 0
 
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -1,4 +1,4 @@
-"""Read what processes cost: processor, memory and bytes on the wire."""
+"""Measure processor time, memory and network bytes of processes."""
 
 import os
 import re
@@ -8,18 +8,18 @@
 
 from nutmegchute_fakes.clusters import Process
 
-NANOSECONDS = 1_000_000_000
+NANOSECONDS_PER_S = 1_000_000_000
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# IPv4 and TCP headers with timestamps, which every segment carries.
+# IPv4 and TCP headers of a segment, with the timestamps option.
 SEGMENT_BYTES = 52
-MEGABYTE = 1_000_000
+BYTES_PER_MB = 1_000_000
 
 _SOCKET = re.compile(r"\S+:(\d+) +\S+:(\d+) .*?pid=(\d+)")
 _FIELD = re.compile(r"(bytes_sent|bytes_received|segs_out|segs_in):(\d+)")
 
 
 class Cost:
-    """Hold what one process cost in a span of time."""
+    """Hold the cost of one process in a period."""
 
     __slots__ = ("cpu_percent", "memory_mb", "received_bps", "sent_bps")
 
@@ -37,20 +37,20 @@
 
     @property
     def wire_bps(self) -> float:
-        """Give bytes a second, both ways together."""
+        """Return bytes per second, sent and received."""
         return self.sent_bps + self.received_bps
 
 
 def measure(
     processes: list[Process], ports: set[int], seconds: float
 ) -> dict[str, Cost]:
-    """Watch processes for a span; bytes are those on the given ports."""
+    """Return the cost of processes; count bytes on the given ports only."""
     start = time.monotonic()
     before = {one.name: _cpu_s(one.pid) for one in processes}
-    wire_before = _wire(ports)
+    wire_before = _wire_bytes(ports)
     time.sleep(seconds)
     elapsed_s = time.monotonic() - start
-    wire_after = _wire(ports)
+    wire_after = _wire_bytes(ports)
     costs = {}
     for process in processes:
         cpu_s = _cpu_s(process.pid) - before[process.name]
@@ -58,7 +58,7 @@
         sent_0, received_0 = wire_before.get(process.pid, (0, 0))
         costs[process.name] = Cost(
             cpu_percent=100 * cpu_s / elapsed_s,
-            memory_mb=_memory_bytes(process.pid) / MEGABYTE,
+            memory_mb=_memory_bytes(process.pid) / BYTES_PER_MB,
             sent_bps=(sent - sent_0) / elapsed_s,
             received_bps=(received - received_0) / elapsed_s,
         )
@@ -66,30 +66,30 @@
 
 
 def mean(costs: list[Cost]) -> Cost:
-    """Average the costs of like processes."""
-    number = len(costs)
+    """Return the mean cost of several processes."""
+    count = len(costs)
     return Cost(
-        cpu_percent=sum(one.cpu_percent for one in costs) / number,
-        memory_mb=sum(one.memory_mb for one in costs) / number,
-        sent_bps=sum(one.sent_bps for one in costs) / number,
-        received_bps=sum(one.received_bps for one in costs) / number,
+        cpu_percent=sum(one.cpu_percent for one in costs) / count,
+        memory_mb=sum(one.memory_mb for one in costs) / count,
+        sent_bps=sum(one.sent_bps for one in costs) / count,
+        received_bps=sum(one.received_bps for one in costs) / count,
     )
 
 
 def _cpu_s(pid: int) -> float:
-    """Sum what the threads ran; finer than the ticks of /proc/PID/stat."""
+    """Return the run time of all threads, finer than /proc/PID/stat."""
     run_ns = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         run_ns += int((task / "schedstat").read_text().split()[0])
-    return run_ns / NANOSECONDS
+    return run_ns / NANOSECONDS_PER_S
 
 
 def _memory_bytes(pid: int) -> int:
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
-def _wire(ports: set[int]) -> dict[int, tuple[int, int]]:
-    """Map processes to bytes sent and received, headers included."""
+def _wire_bytes(ports: set[int]) -> dict[int, tuple[int, int]]:
+    """Return bytes sent and received by process id, headers included."""
     command = ["ss", "-tinpHO", "state", "established"]
     text = subprocess.run(command, capture_output=True, text=True).stdout
     found: dict[int, tuple[int, int]] = {}
@@ -97,8 +97,8 @@
         match = _SOCKET.search(line)
         if match is None:
             continue
-        near, far, pid = map(int, match.groups())
-        if near not in ports and far not in ports:
+        local_port, remote_port, pid = map(int, match.groups())
+        if local_port not in ports and remote_port not in ports:
             continue
         fields = {name: int(value) for name, value in _FIELD.findall(line)}
         sent, received = found.get(pid, (0, 0))
--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -1,14 +1,14 @@
-"""Measure what a call's line in the log costs.
+"""Measure the cost of the log line of a call.
 
 Usage:
   lines [--count=N]
 
 Options:
-  --count=N  Lines of a run [default: 20000].
+  --count=N  Lines per run [default: 20000].
 
-Renders the line of a call with two attempts as a router does and hands it
-to the sink, which writes to nowhere; least of five runs, by processor time
-of all threads. ``off`` is the same call at a level that is not logged.
+Logs the line of a call with two attempts as an entry does, to a sink that
+writes to /dev/null. Printed is the least processor time of five runs, all
+threads included. ``off`` is the same call at a level that is not logged.
 """
 
 import os
@@ -22,7 +22,7 @@
 from nutmegchute_daemon.sinks import MAX_LINES_PER_S
 
 RUNS = 5
-MICRO = 1e6
+MICROSECONDS_PER_S = 1e6
 SEND = {
     "to": "10.1.64.12:8703",
     "instance": "i-5e16a49178",
@@ -41,7 +41,8 @@
 def line_us(level: str, count: int) -> float:
     """Return the processor time of one line, in microseconds."""
     sink = configure_logs(level, "router-1")
-    # The bound of a second would drop what is to be measured.
+    # With a clock in nanoseconds each line falls into a new second, so that
+    # the limit of lines per second drops none.
     sink._clock = time.perf_counter_ns
     started = time.process_time()
     for number in range(count):
@@ -59,19 +60,19 @@
             known=33,
         )
     sink.close()
-    return (time.process_time() - started) / count * MICRO
+    return (time.process_time() - started) / count * MICROSECONDS_PER_S
 
 
 def main() -> int:
-    """Run what the arguments ask for."""
+    """Run the command."""
     count = int(docopt(__doc__)["--count"])
-    shown = os.dup(sys.stdout.fileno())
-    nowhere = os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nowhere, sys.stdout.fileno())
+    stdout = os.dup(sys.stdout.fileno())
+    devnull = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(devnull, sys.stdout.fileno())
     on_us = min(line_us("info", count) for _ in range(RUNS))
     off_us = min(line_us("error", count) for _ in range(RUNS))
-    os.dup2(shown, sys.stdout.fileno())
-    share = 100 * on_us * MAX_LINES_PER_S / MICRO
+    os.dup2(stdout, sys.stdout.fileno())
+    share = 100 * on_us * MAX_LINES_PER_S / MICROSECONDS_PER_S
     print(
         f"a call's line {on_us:.1f} us, off {off_us:.1f} us; at the bound of "
         f"{MAX_LINES_PER_S} lines a second {share:.1f} % of a core"
--- a/benchmarks/loads.py
+++ b/benchmarks/loads.py
@@ -1,7 +1,7 @@
-"""Offer load from one asyncio thread, cheap enough not to measure itself.
+"""Generate load from one asyncio thread.
 
-A load tool of many threads contends for its own interpreter lock: at
-300/s it added over 3 ms to the p99 of the fake upstream alone.
+A load generator with many threads contends for the interpreter lock: at
+300 calls per second this added over 3 ms to the p99 of a fake upstream.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class Connection:
-    """Keep one connection open and exchange requests on it."""
+    """Send requests on one persistent connection."""
 
     __slots__ = ("_address", "_reader", "_writer")
 
@@ -23,7 +23,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def exchange(self, request: bytes) -> int:
-        """Send a request and return the status of the whole answer."""
+        """Send a request, read the whole answer and return its status."""
         if self._writer is None:
             host, _, port = self._address.rpartition(":")
             self._reader, self._writer = await asyncio.open_connection(
@@ -55,8 +55,8 @@
                 return
 
 
-class Side:
-    """Offer calls to some addresses and collect their latencies."""
+class LoadGenerator:
+    """Send calls to several addresses and record their latencies."""
 
     __slots__ = ("_failed", "_histogram", "_idle", "_request", "_turn")
 
@@ -74,16 +74,16 @@
 
     @property
     def failed(self) -> int:
-        """Count the calls not answered with 200."""
+        """Return the number of calls not answered with 200."""
         return self._failed
 
     def percentile_ms(self, percent: float) -> float:
-        """Give a percentile, in milliseconds."""
+        """Return a percentile of the latencies, in milliseconds."""
         value = self._histogram.get_value_at_percentile(percent)
         return float(value) / 1000
 
-    def forget(self) -> None:
-        """Drop what was collected while warming up."""
+    def reset(self) -> None:
+        """Discard the latencies and failures recorded so far."""
         self._histogram.reset()
         self._failed = 0
 
@@ -93,43 +93,47 @@
             connection.close()
 
     async def offer(self, rate: int, seconds: float) -> None:
-        """Offer calls at a steady rate, whatever the answers take.
+        """Send calls at a fixed rate, however long the answers take.
 
-        A call is timed from when it was offered, its wait for a free
-        connection included. The lateness of this loop's own timer, up to
-        1 ms, is left out.
+        The latency includes the wait for a free connection, but not the
+        lateness of this loop's timer, up to 1 ms.
         """
         start = time.perf_counter()
         free = asyncio.Semaphore(len(self._idle))
-        shots = []
+        tasks = []
         for number in range(int(rate * seconds)):
             due = start + number / rate
             await asyncio.sleep(max(0.0, due - time.perf_counter()))
-            shot = self._shoot(time.perf_counter(), free)
-            shots.append(asyncio.ensure_future(shot))
-        await asyncio.gather(*shots)
+            task = self._send(time.perf_counter(), free)
+            tasks.append(asyncio.ensure_future(task))
+        await asyncio.gather(*tasks)
 
-    async def keep_on(self, seconds: float) -> float:
-        """Call as fast as answers come; return answers a second."""
+    async def run_closed_loop(self, seconds: float) -> float:
+        """Send the next call after each answer; return answers per second."""
         end = time.perf_counter() + seconds
         counts = await asyncio.gather(
-            *[self._keep_on(connection, end) for connection in self._idle]
+            *[
+                self._run_closed_loop(connection, end)
+                for connection in self._idle
+            ]
         )
         return float(sum(counts) / seconds)
 
-    async def _shoot(self, offered: float, free: asyncio.Semaphore) -> None:
+    async def _send(self, offered: float, free: asyncio.Semaphore) -> None:
         async with free:
             connection = self._idle.pop(0)
             await self._exchange(connection, offered)
             self._idle.append(connection)
 
-    async def _keep_on(self, connection: Connection, end: float) -> int:
-        done = 0
+    async def _run_closed_loop(
+        self, connection: Connection, end: float
+    ) -> int:
+        answered = 0
         while time.perf_counter() < end:
             failed = self._failed
             await self._exchange(connection, time.perf_counter())
-            done += 1 - (self._failed - failed)
-        return done
+            answered += 1 - (self._failed - failed)
+        return answered
 
     async def _exchange(self, connection: Connection, started: float) -> None:
         try:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""Measure what membership costs an entry at rest.
+"""Measure the cost of membership at an entry without calls.
 
 Usage:
   members [--entries=N] [--seconds=S] [--endpoints=LIST]
@@ -6,12 +6,12 @@
 Options:
   --entries=N       Entry processes [default: 16].
   --seconds=S       Seconds measured per size [default: 8].
-  --endpoints=LIST  Sizes, separated by commas [default: 0,18,150,730].
+  --endpoints=LIST  Numbers of endpoints, by commas [default: 0,18,150,730].
 
-Every endpoint announces itself once a second, each to one entry. Bytes are
-those of the TCP connections between entries as the kernel counts them, with
-52 bytes of headers for each segment. Processor time is the process's own;
-what announcements cost is in it.
+Every endpoint announces itself once a second, each to one entry. The kernel
+counts the bytes of the TCP connections between entries; 52 bytes of headers
+are added for each segment. Processor time is that of the entry's process and
+includes the cost of announcements.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 SETTLE_S = 4.0
 SEGMENT_BYTES = 52
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-GOAL_BYTES_S = 20_000
+MAX_BYTES_PER_S = 20_000
 
 
 class Meter:
@@ -47,19 +47,19 @@
         self._ports = ports
 
     def cpu_s(self) -> float:
-        """Give the processor time used so far, in seconds."""
+        """Return the processor time used so far, in seconds."""
         text = Path(f"/proc/{self._process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Give the resident memory, in megabytes."""
+        """Return the resident memory, in megabytes."""
         text = Path(f"/proc/{self._process.pid}/statm").read_text()
         pages = int(text.split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def wire_bytes(self) -> int:
-        """Give the bytes exchanged with other entries so far."""
+        """Return the bytes exchanged with other entries so far."""
         listed = subprocess.run(
             ["ss", "-tinpH"], check=True, capture_output=True, text=True
         ).stdout
@@ -81,8 +81,8 @@
         return total
 
 
-class Upstreams:
-    """Announce many endpoints without being them."""
+class Announcer:
+    """Announce many endpoints that don't run."""
 
     def __init__(self, entries: list[str]) -> None:
         self._entries = entries
@@ -90,23 +90,25 @@
 
     async def run(self) -> None:
         """Announce each endpoint every REFRESH_S to its entry."""
-        await asyncio.gather(*map(self._feed, range(len(self._entries))))
+        await asyncio.gather(
+            *map(self._announce_to, range(len(self._entries)))
+        )
 
-    async def _feed(self, place: int) -> None:
-        host, _, port = self._entries[place].rpartition(":")
+    async def _announce_to(self, index: int) -> None:
+        host, _, port = self._entries[index].rpartition(":")
         while True:
             started = time.monotonic()
-            # A new connection each turn: entries close those that idle.
+            # A new connection each round, as entries close idle ones.
             reader, writer = await asyncio.open_connection(host, int(port))
-            for number in range(place, self.count, len(self._entries)):
+            for number in range(index, self.count, len(self._entries)):
                 writer.write(_request(number))
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = re.search(rb"(?i)content-length: (\d+)", head)
                 assert length is not None and b" 200 " in head, head
                 await reader.readexactly(int(length.group(1)))
             writer.close()
-            rest_s = REFRESH_S - (time.monotonic() - started)
-            await asyncio.sleep(max(0.0, rest_s))
+            wait_s = REFRESH_S - (time.monotonic() - started)
+            await asyncio.sleep(max(0.0, wait_s))
 
 
 def _request(number: int) -> bytes:
@@ -127,41 +129,45 @@
     entries = cluster.entries
     ports = {one.grpc_address.rpartition(":")[2] for one in entries}
     meters = [Meter(one, ports) for one in entries]
-    upstreams = Upstreams([one.address for one in entries])
-    feeding = asyncio.create_task(upstreams.run())
-    good = True
+    announcer = Announcer([one.address for one in entries])
+    announcing = asyncio.create_task(announcer.run())
+    passed = True
     print("endpoints  KB/s per entry  % of a core  MB   known")
     for size in sizes:
-        upstreams.count = size
+        announcer.count = size
         await asyncio.sleep(SETTLE_S)
         before = [(one.wire_bytes(), one.cpu_s()) for one in meters]
         started = time.monotonic()
         await asyncio.sleep(seconds)
-        if feeding.done():
-            feeding.result()
-        passed_s = time.monotonic() - started
+        if announcing.done():
+            announcing.result()
+        elapsed_s = time.monotonic() - started
         after = [(one.wire_bytes(), one.cpu_s()) for one in meters]
         rates = []
         shares = []
         for old, new in zip(before, after, strict=True):
-            rates.append((new[0] - old[0]) / passed_s)
-            shares.append((new[1] - old[1]) / passed_s)
+            rates.append((new[0] - old[0]) / elapsed_s)
+            shares.append((new[1] - old[1]) / elapsed_s)
         rate = sum(rates) / len(rates)
         share = sum(shares) / len(shares)
         memory = max(one.memory_mb() for one in meters)
         status = await asyncio.to_thread(cluster.fetch, entries[-1])
         known = len(status["upstreams"]) if status else 0
-        good &= known == size and rate < GOAL_BYTES_S
+        passed &= known == size and rate < MAX_BYTES_PER_S
         print(
             f"{size:9}  {rate / 1000:14.2f}  {share:11.2%}  "
             f"{memory:3.0f}  {known:5}"
         )
-    feeding.cancel()
-    return good
+    announcing.cancel()
+    return passed
 
 
 def main() -> int:
-    """Measure every size; the status tells whether the goal holds."""
+    """Measure all sizes.
+
+    Return 1 if an entry misses endpoints or the entries' mean rate reaches
+    MAX_BYTES_PER_S.
+    """
     arguments = docopt(__doc__)
     sizes = [int(size) for size in arguments["--endpoints"].split(",")]
     with tempfile.TemporaryDirectory() as name:
@@ -174,10 +180,10 @@
                 Path(name), build_declaration(2000), controls, OPERATOR_KEY
             )
             seconds = float(arguments["--seconds"])
-            good = asyncio.run(_measure(cluster, sizes, seconds))
+            passed = asyncio.run(_measure(cluster, sizes, seconds))
         finally:
             cluster.stop()
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,4 @@
-"""Measure the time that one entry adds to a call.
+"""Measure the latency that one entry adds to a call.
 
 Usage:
   path [--seconds=S] [--callers=N] [--rates=LIST] [--cpus=LIST]
@@ -6,11 +6,11 @@
 Options:
   --seconds=S  Seconds per rate [default: 6].
   --callers=N  Caller connections [default: 32].
-  --rates=LIST  Calls a second, by commas [default: 100,300,600].
-  --cpus=LIST   Processors that the entry stays on, by commas; else all.
+  --rates=LIST  Calls per second, by commas [default: 100,300,600].
+  --cpus=LIST   Processors to pin the entry to, by commas; else all.
 
-The fake upstream alone and the path through the entry are measured turn
-by turn, half a second each, so that a noisy neighbour hits both alike.
+Measurements of the fake upstreams alone and of the path through the entry
+alternate every half second, so that a noisy neighbour affects both alike.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 from nutmegchute_fakes.demo import build_declaration
 
 from .loads import build_request
-from .loads import Side
+from .loads import LoadGenerator
 
-GOAL_RATE = 300
-TURN_S = 0.5
-WARM_S = 1.0
+REPORTED_RATE = 300
+SLICE_S = 0.5
+SETTLE_S = 1.0
 UPSTREAMS = 6
 CEILING_S = 4.0
 
@@ -39,36 +39,39 @@
     entry: str, upstreams: list[str], rate: int, seconds: float, callers: int
 ) -> tuple[float, float]:
     """Return the added p50 and p99 at a rate, in milliseconds."""
-    sides = (
-        Side(upstreams, build_request("/shelf"), callers),
-        Side([entry], build_request("/call/catalogo/shelf"), callers),
+    generators = (
+        LoadGenerator(upstreams, build_request("/shelf"), callers),
+        LoadGenerator([entry], build_request("/call/catalogo/shelf"), callers),
     )
-    for side in sides:
-        await side.offer(rate, WARM_S)
-        side.forget()
-    for _ in range(int(seconds / TURN_S)):
-        for side in sides:
-            await side.offer(rate, TURN_S)
+    for generator in generators:
+        await generator.offer(rate, SETTLE_S)
+        generator.reset()
+    for _ in range(int(seconds / SLICE_S)):
+        for generator in generators:
+            await generator.offer(rate, SLICE_S)
     added = []
     for percent in (50.0, 99.0):
-        values = [side.percentile_ms(percent) for side in sides]
+        values = [generator.percentile_ms(percent) for generator in generators]
         added.append(values[1] - values[0])
         print(
             f"{rate}/s p{percent:g}: alone {values[0]:.2f} ms, "
             f"through the entry {values[1]:.2f} ms, "
             f"added {values[1] - values[0]:.2f} ms"
         )
-    print(f"{rate}/s failed: {sides[0].failed} alone, {sides[1].failed}")
-    for side in sides:
-        side.close()
+    print(
+        f"{rate}/s failed: {generators[0].failed} alone, "
+        f"{generators[1].failed}"
+    )
+    for generator in generators:
+        generator.close()
     return added[0], added[1]
 
 
 async def ceiling(addresses: list[str], path: str, callers: int) -> float:
-    """Return the calls a second that closed-loop callers get through."""
-    side = Side(addresses, build_request(path), callers)
-    rate = await side.keep_on(CEILING_S)
-    side.close()
+    """Return the calls per second that closed-loop callers reach."""
+    generator = LoadGenerator(addresses, build_request(path), callers)
+    rate = await generator.run_closed_loop(CEILING_S)
+    generator.close()
     return rate
 
 
@@ -90,7 +93,7 @@
 
 
 def main() -> int:
-    """Measure every rate and print the closing line."""
+    """Measure all rates and print the summary line."""
     arguments = docopt(__doc__)
     seconds = float(arguments["--seconds"])
     callers = int(arguments["--callers"])
@@ -107,17 +110,17 @@
                 _, p99[rate] = asyncio.run(
                     measure(entry, upstreams, rate, seconds, callers)
                 )
-            alone = asyncio.run(ceiling(upstreams, "/shelf", callers))
-            most = asyncio.run(
+            alone_rate = asyncio.run(ceiling(upstreams, "/shelf", callers))
+            max_rate = asyncio.run(
                 ceiling([entry], "/call/catalogo/shelf", callers)
             )
         finally:
             cluster.stop()
-    print(f"ceiling of the upstreams alone {alone:.0f}/s")
-    shown = GOAL_RATE if GOAL_RATE in p99 else rates[-1]
+    print(f"ceiling of the upstreams alone {alone_rate:.0f}/s")
+    reported_rate = REPORTED_RATE if REPORTED_RATE in p99 else rates[-1]
     print(
-        f"path added-p99-ms {p99[shown]:.2f} at {shown}/s, "
-        f"ceiling {most:.0f}/s"
+        f"path added-p99-ms {p99[reported_rate]:.2f} at {reported_rate}/s, "
+        f"ceiling {max_rate:.0f}/s"
     )
     return 0
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Measure what each role costs as the deployment grows.
+"""Measure how the cost of each role grows with the deployment.
 
 Usage:
   slopes [--seconds=S] [--json=FILE]
@@ -7,9 +7,9 @@
   --seconds=S  Seconds per point [default: 1.5].
   --json=FILE  Also write the points and slopes to a file.
 
-Real daemons on loopback; each slope has at least three points. Processor
-time comes from the kernel's account of each process, bytes from that of
-each connection between daemons, headers included.
+Runs real daemons on loopback; each slope has at least three points. The
+kernel counts the processor time of each process and the bytes of each
+connection between daemons, headers included.
 """
 
 import contextlib
@@ -44,14 +44,14 @@
 
 ZONES = ["zone-a", "zone-b", "zone-c", "zone-d", "zone-e"]
 CONTROLS = 3
-ENTRY_POINTS = (3, 8, 17)
-ENDPOINT_POINTS = (240, 480, 730)
-CHANGE_POINTS = (2, 5, 10)
-CALLER_POINTS = (16, 64, 256)
-CALL_POINTS = (50, 100, 200)
-CLAIM_POINTS = (20, 40, 80)
-LEDGER_POINTS = (10_000, 20_000, 40_000)
-TREE_POINTS = (100, 200, 400)
+ENTRY_COUNTS = (3, 8, 17)
+ENDPOINT_COUNTS = (240, 480, 730)
+CHANGE_RATES = (2, 5, 10)
+CONNECTION_COUNTS = (16, 64, 256)
+CALL_RATES = (50, 100, 200)
+KEYED_CALL_RATES = (20, 40, 80)
+LEDGER_SIZES = (10_000, 20_000, 40_000)
+TREE_SIZES = (100, 200, 400)
 SERVICES = 31
 ANNOUNCERS = 8
 CALLERS = 4
@@ -70,13 +70,13 @@
 
 
 class Slopes:
-    """Gather points by name, print them and fit lines through them."""
+    """Collect and print points by name and fit lines through them."""
 
     def __init__(self) -> None:
         self._points: dict[str, list[Point]] = {}
 
     def add(self, name: str, size: float, cost: Cost) -> None:
-        """Note one point and print it."""
+        """Record and print one point."""
         self._points.setdefault(name, []).append(Point(size, cost))
         print(
             f"{name:28} {size:7.6g}: cpu {cost.cpu_percent:6.2f} %, "
@@ -86,7 +86,7 @@
         )
 
     def fit(self) -> dict[str, Any]:
-        """Print and return the line through each slope's points."""
+        """Print and return the fitted line of each slope."""
         found: dict[str, Any] = {}
         for name, points in self._points.items():
             sizes = [point.size for point in points]
@@ -97,12 +97,12 @@
                 lines[field] = [line.slope, line.intercept]
             found[name] = lines
             print(f"slope {name}, per unit (and at 0):")
-            for field, (slope, base) in lines.items():
-                print(f"  {field:13} {slope:12.6f}  ({base:.3f})")
+            for field, (slope, intercept) in lines.items():
+                print(f"  {field:13} {slope:12.6f}  ({intercept:.3f})")
         return found
 
 
-class Rig:
+class Deployment:
     """Run a deployment and measure its daemons."""
 
     def __init__(self, folder: Path, seconds: float) -> None:
@@ -113,7 +113,7 @@
         )
 
     def start(self, entries: int) -> None:
-        """Start control and entries, with all services declared."""
+        """Start control and entries and declare all services."""
         self.cluster.start(CONTROLS, entries, entries_keep_s=0.1)
         self.change({"sizing": declaration(0)})
         for entry in self.cluster.entries:
@@ -123,7 +123,7 @@
             )
 
     def change(self, documents: dict[str, Any]) -> Any:
-        """Change branches at the leader; return its answer."""
+        """Send a change of branches to the leader and return its answer."""
         leader = self.leader
         tree = self.cluster.fetch(leader, "/tree")
         assert tree is not None
@@ -144,7 +144,7 @@
 
     @property
     def leader(self) -> Process:
-        """Give the replica that leads."""
+        """Return the leader, waiting for one if necessary."""
         found = self.cluster.wait_for("a leader", self.cluster.leader)
         assert isinstance(found, Process)
         return found
@@ -161,34 +161,34 @@
 
 
 class Announcers:
-    """Run the processes that stand in for the upstreams."""
+    """Run the processes that announce endpoints of upstreams."""
 
     def __init__(self, addresses: list[str], endpoints: int) -> None:
         self._processes = []
         for first in range(ANNOUNCERS):
-            words = [",".join(addresses), first, ANNOUNCERS]
-            words += [endpoints, SERVICES]
+            arguments = [",".join(addresses), first, ANNOUNCERS]
+            arguments += [endpoints, SERVICES]
             command = [sys.executable, "-m", "benchmarks.announcers"]
             self._processes.append(
                 subprocess.Popen(
-                    [*command, *map(str, words)],
+                    [*command, *map(str, arguments)],
                     stdout=subprocess.PIPE,
                     text=True,
                 )
             )
 
     def stop(self) -> float:
-        """Stop; return by how much one was late at most, in seconds."""
+        """Stop them and return the maximum lateness, in seconds."""
         for process in self._processes:
             process.terminate()
-        late_s = 0.0
+        max_lateness_s = 0.0
         for process in self._processes:
             out, _ = process.communicate(timeout=TIMEOUT_S)
-            late_s = max(late_s, float(out))
-        return late_s
+            max_lateness_s = max(max_lateness_s, float(out))
+        return max_lateness_s
 
 
-def declaration(number: int) -> dict[str, Any]:
+def declaration(revision: int) -> dict[str, Any]:
     """Build one team's document with all services, eight rules each."""
     services = {}
     for service in range(SERVICES):
@@ -200,7 +200,7 @@
                     "method": "GET",
                     "path_prefix": f"/kind-{rule}" if rule < 7 else "/",
                     "idempotent": True,
-                    "deadline_ms": 1000 + number % 1000,
+                    "deadline_ms": 1000 + revision % 1000,
                     "reason": "a rule of the size that the examples have",
                 }
             )
@@ -218,61 +218,63 @@
 
 
 def measure_entries(slopes: Slopes, folder: Path, seconds: float) -> None:
-    """Let the number of entries grow, with nothing announced."""
-    for entries in ENTRY_POINTS[:-1]:
-        with _rig(folder / f"entries-{entries}", seconds, entries) as rig:
-            _add(slopes, "per entry", entries, rig)
-
-
-def measure_full(slopes: Slopes, folder: Path, seconds: float) -> None:
-    """Let endpoints and changes grow at the full number of entries."""
-    most = ENTRY_POINTS[-1]
-    with _rig(folder / "full", seconds, most) as rig:
-        _add(slopes, "per entry", most, rig)
-        _measure_changes(slopes, rig, seconds)
-        for endpoints in ENDPOINT_POINTS:
-            addresses = [one.address for one in rig.cluster.entries]
+    """Measure at several numbers of entries, without endpoints."""
+    for entries in ENTRY_COUNTS[:-1]:
+        with _deploy(
+            folder / f"entries-{entries}", seconds, entries
+        ) as deployment:
+            _add_point(slopes, "per entry", entries, deployment)
+
+
+def measure_full_size(slopes: Slopes, folder: Path, seconds: float) -> None:
+    """Measure endpoints and changes at the highest number of entries."""
+    max_entries = ENTRY_COUNTS[-1]
+    with _deploy(folder / "full", seconds, max_entries) as deployment:
+        _add_point(slopes, "per entry", max_entries, deployment)
+        _measure_changes(slopes, deployment, seconds)
+        for endpoints in ENDPOINT_COUNTS:
+            addresses = [one.address for one in deployment.cluster.entries]
             announcers = Announcers(addresses, endpoints)
             time.sleep(SETTLE_S)
-            _add(slopes, "per endpoint", endpoints, rig)
+            _add_point(slopes, "per endpoint", endpoints, deployment)
             print(f"announcements late by {announcers.stop():.2f} s at most")
 
 
 def measure_callers(slopes: Slopes, folder: Path, seconds: float) -> None:
-    """Let connections, then calls, grow at one entry."""
-    with _rig(folder / "callers", seconds, 1) as rig:
-        entry = rig.cluster.entries[0]
-        for callers in CALLER_POINTS:
+    """Measure caller connections, calls and keyed calls at one entry."""
+    with _deploy(folder / "callers", seconds, 1) as deployment:
+        entry = deployment.cluster.entries[0]
+        for callers in CONNECTION_COUNTS:
             pool = urllib3.connectionpool.HTTPConnectionPool(
                 *_host_port(entry.address), maxsize=callers
             )
-            held = [
+            open_answers = [
                 pool.request("GET", "/entries", preload_content=False)
                 for _ in range(callers)
             ]
-            _add(slopes, "per caller connection", callers, rig)
-            for answer in held:
+            _add_point(slopes, "per caller connection", callers, deployment)
+            for answer in open_answers:
                 answer.drain_conn()
                 answer.release_conn()
             pool.close()
-        rig.cluster.add_upstream("service-0", slots=64)
-        rig.cluster.wait_for(
+        deployment.cluster.add_upstream("service-0", slots=64)
+        deployment.cluster.wait_for(
             "the upstream",
-            lambda: (rig.cluster.fetch(entry) or {}).get("upstreams"),
+            lambda: (deployment.cluster.fetch(entry) or {}).get("upstreams"),
         )
-        for rate in CALL_POINTS:
-            with _calls(entry.address, rate, "GET", "/kind-1"):
+        for rate in CALL_RATES:
+            with _send_calls(entry.address, rate, "GET", "/kind-1"):
                 time.sleep(0.5)
-                _add(slopes, "per call a second", rate, rig)
-        for rate in CLAIM_POINTS:
-            with _calls(entry.address, rate, "POST", "/loans"):
+                _add_point(slopes, "per call a second", rate, deployment)
+        for rate in KEYED_CALL_RATES:
+            with _send_calls(entry.address, rate, "POST", "/loans"):
                 time.sleep(0.5)
-                _add(slopes, "per keyed call a second", rate, rig)
+                _add_point(slopes, "per keyed call a second", rate, deployment)
 
 
 def measure_ledger() -> None:
-    """Print what a claim costs in a replica's state, without the wire."""
-    for claims in LEDGER_POINTS:
+    """Print the cost of a claim in a replica's state, without network."""
+    for claims in LEDGER_SIZES:
         tracemalloc.start()
         ledger = Ledger()
         started = time.process_time()
@@ -282,111 +284,125 @@
             request = ClaimRequest([claim], [])
             ledger.apply(ClaimBatch(0.001, request))
         cpu_us = 1e6 * (time.process_time() - started) / claims
-        held, _ = tracemalloc.get_traced_memory()
+        memory_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         snapshot = len(msgspec.msgpack.encode(ledger.snapshot()))
         print(
-            f"ledger of {claims} claims: {held / claims:.0f} bytes of memory "
-            f"and {snapshot / claims:.0f} of snapshot each, "
+            f"ledger of {claims} claims: {memory_bytes / claims:.0f} bytes "
+            f"of memory and {snapshot / claims:.0f} of snapshot each, "
             f"{cpu_us:.0f} us to apply (memory traced)"
         )
 
 
 def measure_tree() -> None:
-    """Print what a change leaves in a replica's state, without the wire."""
-    held = []
+    """Print the cost of a change in a replica's state, without network."""
+    memory_bytes = []
     started = time.process_time()
-    for changes in TREE_POINTS:
+    for changes in TREE_SIZES:
         tracemalloc.start()
         tree = Tree()
-        for number in range(changes):
-            service = declaration(number)["services"]["service-0"]
+        for revision in range(changes):
+            service = declaration(revision)["services"]["service-0"]
             change = Change(
-                change_id=f"change-{number}",
+                change_id=f"change-{revision}",
                 operator="operator",
-                bases={"sizing": number},
+                bases={"sizing": revision},
                 documents={"sizing": {"services": {"service-0": service}}},
                 at_unix_s=0.0,
             )
-            tree.apply(number + 1, change)
-        held.append(tracemalloc.get_traced_memory()[0])
+            tree.apply(revision + 1, change)
+        memory_bytes.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
-    line = linear_regression(TREE_POINTS, held)
-    cpu_ms = 1e3 * (time.process_time() - started) / sum(TREE_POINTS)
+    line = linear_regression(TREE_SIZES, memory_bytes)
+    cpu_ms = 1e3 * (time.process_time() - started) / sum(TREE_SIZES)
     print(
         f"tree: {line.slope:.0f} bytes of memory kept per change, "
         f"{cpu_ms:.2f} ms to apply one of one service (memory traced)"
     )
 
 
-def _measure_changes(slopes: Slopes, rig: Rig, seconds: float) -> None:
-    for rate in CHANGE_POINTS:
-        ended = threading.Event()
-        thread = threading.Thread(target=_change, args=(rig, rate, ended))
+def _measure_changes(
+    slopes: Slopes, deployment: Deployment, seconds: float
+) -> None:
+    for rate in CHANGE_RATES:
+        stopped = threading.Event()
+        thread = threading.Thread(
+            target=_send_changes, args=(deployment, rate, stopped)
+        )
         thread.start()
-        _add(slopes, "per change a second", rate, rig)
-        ended.set()
+        _add_point(slopes, "per change a second", rate, deployment)
+        stopped.set()
         thread.join()
     started = time.monotonic()
-    index = rig.change({"sizing": declaration(999)})["index"]
-    rig.cluster.wait_for("the change in force", lambda: _in_force(rig, index))
+    index = deployment.change({"sizing": declaration(999)})["index"]
+    deployment.cluster.wait_for(
+        "the change in force", lambda: _in_force(deployment, index)
+    )
     elapsed_s = time.monotonic() - started
     print(f"one change in force everywhere after {elapsed_s:.2f} s")
     print(f"tree {len(msgspec.json.encode(declaration(0))) / 1000:.1f} KB")
 
 
-def _in_force(rig: Rig, index: int) -> bool:
-    status = rig.cluster.fetch(rig.leader)
+def _in_force(deployment: Deployment, index: int) -> bool:
+    status = deployment.cluster.fetch(deployment.leader)
     assert status is not None
     return bool(status["index"] >= index and status["in_force"])
 
 
-def _change(rig: Rig, rate: int, ended: threading.Event) -> None:
-    number = 0
-    while not ended.wait(1 / rate):
-        number += 1
-        rig.change({"sizing": declaration(number)})
+def _send_changes(
+    deployment: Deployment, rate: int, stopped: threading.Event
+) -> None:
+    revision = 0
+    while not stopped.wait(1 / rate):
+        revision += 1
+        deployment.change({"sizing": declaration(revision)})
 
 
 @contextlib.contextmanager
-def _rig(folder: Path, seconds: float, entries: int) -> Iterator[Rig]:
+def _deploy(
+    folder: Path, seconds: float, entries: int
+) -> Iterator[Deployment]:
     folder.mkdir()
-    rig = Rig(folder, seconds)
+    deployment = Deployment(folder, seconds)
     try:
-        rig.start(entries)
-        yield rig
+        deployment.start(entries)
+        yield deployment
     finally:
-        rig.cluster.stop()
+        deployment.cluster.stop()
 
 
 @contextlib.contextmanager
-def _calls(address: str, rate: int, method: str, path: str) -> Iterator[None]:
-    ended = threading.Event()
+def _send_calls(
+    address: str, rate: int, method: str, path: str
+) -> Iterator[None]:
+    stopped = threading.Event()
     url = f"http://{address}/call/service-0{path}"
 
     def call() -> None:
         pool = urllib3.PoolManager(timeout=TIMEOUT_S, retries=False)
         due = time.monotonic()
-        while not ended.is_set():
+        while not stopped.is_set():
             headers = {}
             if method == "POST":
                 headers["Idempotency-Key"] = secrets.token_hex(8)
             answer = pool.request(method, url, headers=headers)
             assert answer.status == 200, answer.data
             due += CALLERS / rate
-            ended.wait(max(0.0, due - time.monotonic()))
+            stopped.wait(max(0.0, due - time.monotonic()))
 
     threads = [threading.Thread(target=call) for _ in range(CALLERS)]
     for thread in threads:
         thread.start()
     yield
-    ended.set()
+    stopped.set()
     for thread in threads:
         thread.join()
 
 
-def _add(slopes: Slopes, name: str, size: float, rig: Rig) -> None:
-    entry, leader = rig.measure()
+def _add_point(
+    slopes: Slopes, name: str, size: float, deployment: Deployment
+) -> None:
+    entry, leader = deployment.measure()
     slopes.add(f"entry, {name}", size, entry)
     slopes.add(f"leader, {name}", size, leader)
 
@@ -405,7 +421,7 @@
     with tempfile.TemporaryDirectory(prefix="nutmegchute-") as name:
         folder = Path(name)
         measure_entries(slopes, folder, seconds)
-        measure_full(slopes, folder, seconds)
+        measure_full_size(slopes, folder, seconds)
         measure_callers(slopes, folder, seconds)
     measure_ledger()
     measure_tree()
