--- a/packages/fakes/nutmegchute_fakes/demo.py
+++ b/packages/fakes/nutmegchute_fakes/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole path on loopback and judge it.
+"""Run a deployment on loopback under load and check every outcome.
 
 Usage:
   demo [--requests=N]
@@ -33,13 +33,13 @@
 ZONES = ["miraflores", "san-isidro", "surco"]
 CALLERS = 8
 LOAN_EVERY = 5
-TRIES = 5
-TRY_AGAIN_S = 0.1
+MAX_ATTEMPTS = 5
+RETRY_DELAY_S = 0.1
 RATE_PER_S = 100
 
 
 def build_declaration(deadline_ms: int) -> dict[str, object]:
-    """Build the demo team's document."""
+    """Return the declaration of the demo team."""
     rules = [
         {
             "name": "loan",
@@ -65,7 +65,7 @@
 def apply_declaration(
     folder: Path, document: dict[str, object], controls: list[str], key: str
 ) -> None:
-    """Apply a document of the team "lending" by the command line."""
+    """Apply a declaration of the team "lending" by the command line."""
     declarations = folder / "declarations"
     declarations.mkdir(exist_ok=True)
     data = msgspec.json.format(msgspec.json.encode(document))
@@ -83,21 +83,21 @@
 
 
 class Demo:
-    """Run the demo step by step."""
+    """Run the steps of the demo and count the outcomes."""
 
     def __init__(self, folder: Path, requests: int) -> None:
         self._folder = folder
         self._requests = requests
         self._cluster = Cluster(folder, ZONES)
-        self._shots: list[CallResult] = []
+        self._results: list[CallResult] = []
         self._in_force_s = 0.0
 
     def run(self) -> bool:
-        """Run all steps; return whether nothing went wrong."""
+        """Run all steps; return whether the outcomes are correct."""
         try:
             self._start()
-            self._load()
-            return self._judge()
+            self._run_load()
+            return self._check_outcomes()
         finally:
             self._cluster.stop()
 
@@ -111,22 +111,22 @@
         for entry in self._cluster.entries:
             self._cluster.wait_for(
                 f"6 upstreams at {entry.name}",
-                lambda one=entry: self._knows(one, 6),
+                lambda one=entry: self._lists_upstreams(one, 6),
             )
-        print("the whole path is up")
+        print("the deployment is up")
 
-    def _knows(self, entry: Process, upstreams: int) -> bool:
+    def _lists_upstreams(self, entry: Process, count: int) -> bool:
         status = self._cluster.fetch(entry)
-        return status is not None and len(status["upstreams"]) == upstreams
+        return status is not None and len(status["upstreams"]) == count
 
-    def _load(self) -> None:
+    def _run_load(self) -> None:
         seeds = [entry.address for entry in self._cluster.entries]
         callers = [
             FakeCaller(seeds, ZONES[number % len(ZONES)])
             for number in range(CALLERS)
         ]
         steps = {
-            self._requests // 4: self._change,
+            self._requests // 4: self._change_configuration,
             self._requests // 2: self._drain_upstream,
             self._requests * 3 // 4: self._drain_entry,
         }
@@ -137,27 +137,29 @@
                 if step is not None:
                     pending.append(pool.submit(step))
                 caller = callers[number % CALLERS]
-                pending.append(pool.submit(self._shoot, caller, number))
+                pending.append(pool.submit(self._send_request, caller, number))
                 time.sleep(1 / RATE_PER_S)
             for future in pending:
                 future.result()
 
-    def _shoot(self, caller: FakeCaller, number: int) -> None:
+    def _send_request(self, caller: FakeCaller, number: int) -> None:
         loan = number % LOAN_EVERY == 0
         service = "prestamos" if number % 2 else "catalogo"
         method, path = ("POST", "/loans") if loan else ("GET", "/shelf")
         body = b'{"book": "atlas"}' if loan else b""
-        identity = f"request-{number}"
-        headers = {"Idempotency-Key": identity} if loan else {}
-        for _ in range(TRIES):
-            shot = caller.call(identity, service, method, path, body, headers)
-            if shot.outcome != REFUSED:
+        request_id = f"request-{number}"
+        headers = {"Idempotency-Key": request_id} if loan else {}
+        for _ in range(MAX_ATTEMPTS):
+            call_result = caller.call(
+                request_id, service, method, path, body, headers
+            )
+            if call_result.outcome != REFUSED:
                 break
-            # "Not run" is a promise, so even a loan may be sent again.
-            time.sleep(TRY_AGAIN_S)
-        self._shots.append(shot)
+            # "Not run" is guaranteed, so even a loan may be sent again.
+            time.sleep(RETRY_DELAY_S)
+        self._results.append(call_result)
 
-    def _change(self) -> None:
+    def _change_configuration(self) -> None:
         print("applying a configuration change")
         started = time.monotonic()
         self._apply(1500)
@@ -181,31 +183,31 @@
     def _ran_twice(self) -> int:
         ran: Counter[str] = Counter()
         for upstream in self._cluster.upstreams:
-            for identity in self._cluster.fetch(upstream, "/_ran") or []:
-                ran[identity] += 1
+            for request_id in self._cluster.fetch(upstream, "/_ran") or []:
+                ran[request_id] += 1
         loans = {f"request-{n}" for n in range(0, self._requests, LOAN_EVERY)}
         return sum(1 for one in loans if ran[one] > 1)
 
-    def _judge(self) -> bool:
-        tally = Counter(shot.outcome for shot in self._shots)
+    def _check_outcomes(self) -> bool:
+        counts = Counter(call_result.outcome for call_result in self._results)
         ran_twice = self._ran_twice()
         entry = self._cluster.entries[0]
         status = entry.wait()
         print(f"{entry.name} exited with status {status}")
         print(
-            f"answered {tally[ANSWERED]} of {self._requests}, "
-            f"refused-not-run {tally[REFUSED]}, "
-            f"unknown {tally[UNKNOWN]}, wrong {tally[WRONG]}, "
+            f"answered {counts[ANSWERED]} of {self._requests}, "
+            f"refused-not-run {counts[REFUSED]}, "
+            f"unknown {counts[UNKNOWN]}, wrong {counts[WRONG]}, "
             f"ran-twice {ran_twice}, "
             f"config in force after {self._in_force_s:.2f} s"
         )
-        whole = sum(tally.values()) == self._requests
-        clean = tally[WRONG] == 0 and ran_twice == 0 and status == 0
-        return whole and clean and tally[ANSWERED] > 0
+        is_complete = sum(counts.values()) == self._requests
+        is_correct = counts[WRONG] == 0 and ran_twice == 0 and status == 0
+        return is_complete and is_correct and counts[ANSWERED] > 0
 
 
 def main() -> int:
-    """Run the demo in a folder of its own."""
+    """Run the demo in a temporary folder."""
     arguments = docopt(__doc__)
     with tempfile.TemporaryDirectory(prefix="nutmegchute-") as folder:
         demo = Demo(Path(folder), int(arguments["--requests"]))
--- a/packages/fakes/nutmegchute_fakes/upstreams.py
+++ b/packages/fakes/nutmegchute_fakes/upstreams.py
@@ -1,4 +1,4 @@
-"""Be a fake upstream: slots, a record of what ran, announcements.
+"""Serve calls as a fake upstream that announces itself and records runs.
 
 Usage:
   upstreams --service=NAME --address=ADDRESS
@@ -10,12 +10,12 @@
   --address=ADDRESS    IP and port to serve on.
   --zone=NAME          Availability zone to announce.
   --entries=ADDRESSES  Entries to announce to, separated by commas.
-  --slots=N            Calls run at once [default: 3].
-  --service-ms=MS      Time one call takes [default: 2].
-  --key=KEY            Key the service's announcements must show.
-  --record=PATH        File to append to what ran; it outlives a kill.
+  --slots=N            Calls run concurrently [default: 3].
+  --service-ms=MS      Duration of one call [default: 2].
+  --key=KEY            Key of the service, sent with announcements.
+  --record=PATH        File that gets a line per run, kept after a kill.
 
-A call to CRASH_PATH ends the process.
+A call to CRASH_PATH is recorded and ends the process.
 """
 
 import os
@@ -33,10 +33,10 @@
 from docopt import docopt
 from urllib3.exceptions import HTTPError
 
-ANNOUNCE_S = 0.5
-DRAIN_S = 1.5
+ANNOUNCE_INTERVAL_S = 0.5
+DRAIN_DELAY_S = 1.5
 EXTRA_THREADS = 8
-PATIENCE = 4
+MAX_CALLS_PER_SLOT = 4
 KEEP_ALIVE_CONNECTIONS = 1024
 CRASH_PATH = "/crash"
 CRASH_STATUS = 70
@@ -45,12 +45,13 @@
 
 
 class FakeUpstream:
-    """Serve calls on a few slots and remember what ran."""
+    """Serve calls on a few slots and record which requests ran."""
 
     __slots__ = (
         "_address",
-        "_busy",
         "_draining",
+        "_free_slots",
+        "_in_flight",
         "_incarnation",
         "_lock",
         "_ran",
@@ -58,7 +59,6 @@
         "_service",
         "_service_s",
         "_slots",
-        "_slots_free",
         "_zone",
     )
 
@@ -76,9 +76,9 @@
         self._zone = zone
         self._slots = slots
         self._service_s = service_s
-        self._slots_free = threading.Semaphore(slots)
+        self._free_slots = threading.Semaphore(slots)
         self._lock = threading.Lock()
-        self._busy = 0
+        self._in_flight = 0
         self._ran: list[str] = []
         self._record = record.open("a") if record is not None else None
         self._draining = False
@@ -86,13 +86,13 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether the endpoint is leaving."""
+        """Return whether the endpoint is draining."""
         return self._draining
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer a call, or a question of the test's."""
+        """Answer a call or a request of the test."""
         path = environ["PATH_INFO"]
         if path == "/_ran":
             return _answer(start_response, self._ran, [])
@@ -100,32 +100,33 @@
             self.drain()
             return _answer(start_response, {}, [])
         if path == "/nutmegchute/load":
-            headers = [("Nutmegchute-Load", str(self._busy))]
+            headers = [("Nutmegchute-Load", str(self._in_flight))]
             return _answer(start_response, {}, headers)
         return self._run(environ, start_response)
 
     def drain(self) -> None:
-        """Announce from now on that the endpoint is leaving."""
+        """Announce from now on that the endpoint is draining."""
         self._draining = True
 
-    def _note(self, identity: str, environ: dict[str, Any]) -> None:
-        self._ran.append(identity)
+    def _record_run(self, request_id: str, environ: dict[str, Any]) -> None:
+        self._ran.append(request_id)
         if self._record is None:
             return
         method = environ["REQUEST_METHOD"]
         at_unix_s = time.time()
         incarnation = self._incarnation
-        line = f"{at_unix_s:.3f} {incarnation} {method} {identity}\n"
-        # One write: a kill leaves whole lines, and what ran is known.
+        line = f"{at_unix_s:.3f} {incarnation} {method} {request_id}\n"
+        # A single write, so that a kill leaves complete lines only and no
+        # run is missing from the record.
         self._record.write(line)
         self._record.flush()
 
-    def outbid(self, incarnation: int) -> None:
-        """Take a number above that of an earlier run by a faster clock."""
+    def raise_incarnation(self, incarnation: int) -> None:
+        """Exceed the incarnation of an earlier run whose clock was ahead."""
         self._incarnation = max(self._incarnation, incarnation + 1)
 
-    def announcement(self) -> dict[str, Any]:
-        """Give the endpoint's present announcement."""
+    def build_announcement(self) -> dict[str, Any]:
+        """Return the current announcement of the endpoint."""
         return {
             "service": self._service,
             "endpoint": self._address,
@@ -140,28 +141,28 @@
     ) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
         with self._lock:
-            shed = self._busy >= self._slots * PATIENCE
-            if not shed:
-                self._busy += 1
-        if shed:
+            overloaded = self._in_flight >= self._slots * MAX_CALLS_PER_SLOT
+            if not overloaded:
+                self._in_flight += 1
+        if overloaded:
             headers = [
                 ("Nutmegchute-Not-Run", "shed"),
-                ("Nutmegchute-Load", str(self._busy)),
+                ("Nutmegchute-Load", str(self._in_flight)),
             ]
             return _answer(start_response, {}, headers, "503 Shed")
-        with self._slots_free:
+        with self._free_slots:
             time.sleep(self._service_s)
-            identity = environ.get("HTTP_X_REQUEST_ID", "")
+            request_id = environ.get("HTTP_X_REQUEST_ID", "")
             with self._lock:
-                self._note(identity, environ)
+                self._record_run(request_id, environ)
                 if environ["PATH_INFO"] == CRASH_PATH:
                     os._exit(CRASH_STATUS)
-                self._busy -= 1
-                load = self._busy
+                self._in_flight -= 1
+                load = self._in_flight
         answer = {
             "service": self._service,
             "endpoint": self._address,
-            "echo": identity,
+            "echo": request_id,
             "bytes": len(body),
         }
         headers = [("Nutmegchute-Load", str(load))]
@@ -169,7 +170,7 @@
 
 
 class Announcer:
-    """Announce an upstream to the entries until it stops."""
+    """Announce an upstream to the entries until stopped."""
 
     __slots__ = ("_entries", "_headers", "_pool", "_stopping", "_upstream")
 
@@ -183,22 +184,22 @@
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """End the announcements."""
+        """Stop announcing."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Announce to one entry at a time; turn to the next on failure."""
-        turn = 0
-        while not self._stopping.wait(ANNOUNCE_S if turn else 0):
+        """Announce to one entry at a time; try the next one on failure."""
+        index = 0
+        while not self._stopping.wait(ANNOUNCE_INTERVAL_S if index else 0):
             for _ in self._entries:
-                entry = self._entries[turn % len(self._entries)]
+                entry = self._entries[index % len(self._entries)]
                 if self._announce(entry):
                     break
-                turn += 1
-            turn = turn or len(self._entries)
+                index += 1
+            index = index or len(self._entries)
 
     def _announce(self, entry: str) -> bool:
-        body = msgspec.json.encode(self._upstream.announcement())
+        body = msgspec.json.encode(self._upstream.build_announcement())
         url = f"http://{entry}/announce"
         try:
             answer = self._pool.request(
@@ -208,7 +209,7 @@
             return False
         if answer.status == 409:
             floor = msgspec.json.decode(answer.data)["incarnation"]
-            self._upstream.outbid(floor)
+            self._upstream.raise_incarnation(floor)
         return answer.status == 200
 
 
@@ -229,7 +230,7 @@
 
 
 def main() -> None:
-    """Serve and announce until told to stop; drain first."""
+    """Serve and announce; drain and stop on SIGTERM."""
     arguments = docopt(__doc__)
     slots = int(arguments["--slots"])
     upstream = FakeUpstream(
@@ -241,10 +242,10 @@
         record=Path(arguments["--record"]) if arguments["--record"] else None,
     )
     host, _, port = arguments["--address"].rpartition(":")
-    threads = slots * PATIENCE + EXTRA_THREADS
+    threads = slots * MAX_CALLS_PER_SLOT + EXTRA_THREADS
     server = wsgi.Server((host, int(port)), upstream, numthreads=threads)
-    # The server's own default of ten would close the entries' connections
-    # after each answer and measure connecting instead of answering.
+    # Above its limit, ten by default, the server closes connections after
+    # each answer, and latencies would include connecting.
     server.keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS
     entries = arguments["--entries"].split(",")
     announcer = Announcer(upstream, entries, arguments["--key"])
@@ -255,7 +256,7 @@
 
     def drain() -> None:
         upstream.drain()
-        time.sleep(DRAIN_S)
+        time.sleep(DRAIN_DELAY_S)
         announcer.stop()
         server.stop()
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Test the whole path with real processes."""
+"""Test a deployment of real processes under load."""
 
 from pathlib import Path
 
@@ -6,5 +6,5 @@
 
 
 def test_whole_path(tmp_path: Path) -> None:
-    """Serve calls while a change, an upstream's and an entry's drain run."""
+    """Serve calls during a change and drains of an upstream and an entry."""
     assert Demo(tmp_path, requests=120).run()
