--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -132,7 +132,7 @@
     assert then.call_id == call_id
 
 
-def test_shed_call_is_told_to_come_back_at_once() -> None:
+def test_shed_call_gets_a_short_retry_after() -> None:
     """A shed call gets a short Retry-After while the queue is empty.
 
     Endpoints shed calls at random while they have free slots. With a
@@ -147,7 +147,7 @@
     assert 0 < refusal.retry_after_s <= 0.01
 
 
-def test_scarce_retry_goes_to_a_caller_that_came_back() -> None:
+def test_scarce_retry_is_reserved_for_a_repeated_call() -> None:
     """A scarce retry is reserved for a caller that has retried already.
 
     Endpoints shed more calls than the budget allows to retry. The first
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -77,12 +77,12 @@
     return [one.endpoint for one in actions if isinstance(one, Send)]
 
 
-def test_call_goes_where_work_takes_its_usual_time() -> None:
+def test_endpoint_slowed_by_other_load_is_skipped() -> None:
     """Skip an endpoint that is slowed down by other load on its vm.
 
     A quarter of the endpoints are five times slower for 150 ms at a time,
-    and a call keeps the speed at which it starts. Sent by reports that are
-    a second old, every fourth call would be late.
+    and a call keeps the speed at which it starts. With endpoints chosen by
+    reports that are a second old, every fourth call would be late.
     """
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
@@ -136,7 +136,7 @@
     assert now < 5.3
 
 
-def test_call_is_held_until_an_answer_tells_of_room() -> None:
+def test_call_is_held_until_an_answer_reports_a_free_slot() -> None:
     """Hold a call while every endpoint is overloaded, then send it at once.
 
     Endpoints slow down when nearly full: with more calls sent, all would
@@ -157,7 +157,7 @@
     assert sent_to(balancer.finish(result, 5.02)) == [address]
 
 
-def test_fresh_report_serves_the_next_call() -> None:
+def test_no_query_is_sent_while_a_report_is_fresh() -> None:
     """Send no query while a report shows a free slot at usual speed."""
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
@@ -201,7 +201,7 @@
     assert len(spent) > 50
 
 
-def test_zone_first_while_the_objective_allows() -> None:
+def test_zone_is_left_only_to_meet_the_objective() -> None:
     """Leave the zone only for a call that would miss its objective there.
 
     Another zone's clients have moved here, and the endpoints of this zone
@@ -324,7 +324,7 @@
             balancer.finish(result, now + took_s)
 
 
-def test_slow_last_slot_yields_to_a_free_one_elsewhere() -> None:
+def test_free_slot_elsewhere_is_preferred_to_a_slow_last_slot() -> None:
     """Leave the zone if its endpoints have only slow last slots left.
 
     The zone has a third of the callers and a quarter of the endpoints. Work
@@ -374,7 +374,7 @@
     assert send.endpoint in LOCAL
 
 
-def test_held_call_learns_of_room_in_another_zone() -> None:
+def test_held_call_queries_other_zones() -> None:
     """Query other zones for a call that is held.
 
     A zone with a third of the callers has lost most of its endpoints, and
@@ -392,7 +392,7 @@
     assert sent_to(actions) == [address]
 
 
-def test_late_call_leaves_a_slot_to_those_in_time() -> None:
+def test_slot_is_reserved_for_calls_in_time() -> None:
     """Serve new calls in time while many late calls are waiting.
 
     After a power loss all callers retry at once, already late. If they took
@@ -407,7 +407,7 @@
     assert len(arrive(balancer, 50.04, 1, 1, 1.6)) == 1
 
 
-def test_burst_that_uses_up_the_questions_sends_nothing_blindly() -> None:
+def test_calls_are_held_while_the_query_budget_is_used_up() -> None:
     """Hold calls until the query budget allows the next query.
 
     Half of the endpoints are gone and a burst has used up the budget. Calls
@@ -459,7 +459,7 @@
     return balancer
 
 
-def test_health_answer_without_a_load_silences_nobody() -> None:
+def test_health_answer_without_a_load_is_no_failure() -> None:
     """Send the call after an answer without a load, and stop queries.
 
     Endpoints of a service answer at the health path without a load. Counted
@@ -526,7 +526,7 @@
     return call_id, actions
 
 
-def test_no_call_is_held_beside_one_that_waits_late() -> None:
+def test_call_is_refused_while_a_late_one_waits() -> None:
     """Refuse a call at once while a late one is waiting.
 
     Under overload calls in time go first, and a late one waits until its
@@ -541,7 +541,7 @@
     assert refusal.retry_after_s == SHED_RETRY_S
 
 
-def test_late_call_waits_only_alone() -> None:
+def test_only_one_late_call_waits() -> None:
     """Refuse a held call that becomes late while another is waiting.
 
     Two calls arrive at the same time and find no free slot. A tenth of a
