--- a/packages/fakes/nutmegchute_fakes/__init__.py
+++ b/packages/fakes/nutmegchute_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for callers and upstreams in tests, demo and benchmarks."""
+"""Fake callers, upstreams and control replicas for tests and benchmarks."""
--- a/packages/fakes/nutmegchute_fakes/soak.py
+++ b/packages/fakes/nutmegchute_fakes/soak.py
@@ -1,24 +1,26 @@
-"""Break real processes at random under load and judge every outcome.
+"""Inject faults into real processes under load and check every outcome.
 
 Usage:
   soak [--seconds=S] [--seed=N] [--rate=R] [--keep=PATH]
 
 Options:
-  --seconds=S  Seconds of faults under load [default: 60].
-  --seed=N     Schedule to play again; a new one by default.
-  --rate=R     Requests a second [default: 60].
+  --seconds=S  Duration of the faults [default: 60].
+  --seed=N     Seed of the fault schedule; random by default.
+  --rate=R     Requests per second [default: 60].
   --keep=PATH  Folder for logs and records, kept afterwards.
 
-The seed gives the schedule of faults; how the processes meet it differs
-from run to run. The oracle compares what callers were told with what the
-upstreams wrote down as run:
+The seed determines the schedule of faults; the timing within the processes
+differs from run to run. The oracle compares the outcomes that callers got
+with the runs that the upstreams recorded, and counts violations:
 
   ran-twice      a loan that ran more than once
-  lost           a lookup never answered, or said to have run and did not
-  crossed        another request's answer, or not the whole one
-  false-not-run  an attempt that was refused "not run" and ran
-  crashed-on     a request that ends upstreams went on to reach them
-  evacuated      what ran in an evacuated availability zone
+  lost           a lookup without an answer, or a request reported as run
+                 that no upstream ran
+  crossed        the answer of another request, or an incomplete one
+  false-not-run  an attempt that was refused as "not run" and ran
+  crashed-on     a crashing request that reached upstreams after it should
+                 have been quarantined
+  evacuated      an attempt that ran in an evacuated availability zone
 """
 
 import contextlib
@@ -61,18 +63,19 @@
 ENTRIES = 4
 UPSTREAMS = 6
 CALLERS = 12
-CALM_S = 10.0
-TRY_AGAIN_S = 0.25
-LOOKUP_S = 25.0
-LOAN_TRIES = 12
-LATE_S = 3.0
+RECOVERY_S = 10.0
+RETRY_DELAY_S = 0.25
+LOOKUP_TIMEOUT_S = 25.0
+MAX_LOAN_ATTEMPTS = 12
+SETTLE_S = 3.0
 MAX_SEED = 10**6
-# A request that ends each upstream that runs it comes this often. Once three
-# have ended it may reach a few more, and for so long while control is broken.
-CRASH_GAP_S = 0.4
-CRASH_NAME = "crash"
-CRASHES_TO_KNOW = 3
-MOST_CRASHES = 3
+# A request that crashes each upstream that runs it is sent at this interval.
+# After three crashes it may go on for QUARANTINE_DELAY_S, since control
+# replicas fail meanwhile, and cause MAX_LATE_CRASHES crashes after that.
+CRASH_INTERVAL_S = 0.4
+CRASH_PREFIX = "crash"
+CRASHES_TO_QUARANTINE = 3
+MAX_LATE_CRASHES = 3
 QUARANTINE_DELAY_S = 15.0
 
 LOOKUP = "lookup"
@@ -82,7 +85,7 @@
 
 
 class RequestRecord:
-    """Hold what a caller was told of one request, attempt by attempt."""
+    """Hold the outcome of each attempt of one request."""
 
     __slots__ = ("attempts", "kind", "name")
 
@@ -92,61 +95,71 @@
         self.attempts: list[tuple[str, str]] = []
 
     @property
-    def last(self) -> str:
-        """Give the last outcome."""
+    def last_outcome(self) -> str:
+        """Return the outcome of the last attempt."""
         return self.attempts[-1][1] if self.attempts else UNKNOWN
 
 
 class OutcomeOracle:
-    """Compare what callers were told with what ran."""
+    """Compare the outcomes that callers got with the recorded runs."""
 
-    def __init__(self, told: list[RequestRecord], ran: list[str]) -> None:
-        self._told = told
-        self._attempts = Counter(ran)
-        self._requests = Counter(one.partition(".")[0] for one in ran)
+    def __init__(self, records: list[RequestRecord], ran: list[str]) -> None:
+        self._records = records
+        self._attempt_runs = Counter(ran)
+        self._request_runs = Counter(one.partition(".")[0] for one in ran)
 
     def ran_twice(self) -> list[str]:
-        """Name the loans that ran more than once."""
+        """Return the names of loans that ran more than once."""
         return [
             one.name
-            for one in self._told
-            if one.kind != LOOKUP and self._requests[one.name] > 1
+            for one in self._records
+            if one.kind != LOOKUP and self._request_runs[one.name] > 1
         ]
 
     def lost(self) -> list[str]:
-        """Name the requests without the answer they were due."""
+        """Return the names of lost requests.
+
+        A lookup without an answer is lost, and so is any request that was
+        reported as run although no upstream ran it.
+        """
         found = []
-        for one in self._told:
-            done = one.last in (ANSWERED, RAN)
+        for one in self._records:
+            done = one.last_outcome in (ANSWERED, RAN)
             unanswered = one.kind == LOOKUP and not done
-            if unanswered or (done and not self._requests[one.name]):
+            if unanswered or (done and not self._request_runs[one.name]):
                 found.append(one.name)
         return found
 
     def crossed(self) -> list[str]:
-        """Name the attempts that got a wrong or partial answer."""
-        return self._with(WRONG)
+        """Return the attempts that got a wrong or incomplete answer."""
+        return self._list_attempts(WRONG)
 
     def false_not_run(self) -> list[str]:
-        """Name the attempts that ran although they were refused."""
-        return [one for one in self._with(REFUSED) if self._attempts[one]]
+        """Return the attempts that ran although refused as not run."""
+        return [
+            one
+            for one in self._list_attempts(REFUSED)
+            if self._attempt_runs[one]
+        ]
 
     def summary(self) -> str:
-        """Count the requests by their last outcome."""
-        counts = Counter(f"{one.kind} {one.last}" for one in self._told)
+        """Return the number of requests by kind and last outcome."""
+        counts = Counter(
+            f"{one.kind} {one.last_outcome}" for one in self._records
+        )
         return ", ".join(f"{key} {counts[key]}" for key in sorted(counts))
 
-    def _with(self, outcome: str) -> list[str]:
+    def _list_attempts(self, outcome: str) -> list[str]:
         found = []
-        for one in self._told:
-            for attempt, said in one.attempts:
-                if said == outcome:
+        for one in self._records:
+            for attempt, reported in one.attempts:
+                if reported == outcome:
                     found.append(attempt)
         return found
 
 
 class Soak:
-    """Run one soak."""
+    """Run a cluster under load and faults, then check the outcomes."""
 
     def __init__(
         self, folder: Path, seed: int, seconds: float, rate: float
@@ -156,12 +169,12 @@
         self._seconds = seconds
         self._rate = rate
         self._cluster = Cluster(folder, ZONES)
-        self._told: list[RequestRecord] = []
+        self._records: list[RequestRecord] = []
         self._lock = threading.Lock()
         self._evacuator: Evacuator | None = None
 
     def run(self) -> bool:
-        """Run it all; return whether nothing went wrong."""
+        """Run the soak; return whether no invariant was violated."""
         faults = draw_schedule(
             Random(self._seed),
             self._seconds,
@@ -170,10 +183,10 @@
         print(f"soak seed {self._seed}: {len(faults)} faults", flush=True)
         try:
             self._start()
-            self._play(faults)
+            self._run_load(faults)
         finally:
             self._cluster.stop()
-        return self._judge()
+        return self._check_outcomes()
 
     def _start(self) -> None:
         cluster = self._cluster
@@ -186,21 +199,23 @@
         for entry in cluster.entries:
             cluster.wait_for(
                 f"upstreams at {entry.name}",
-                lambda one=entry: self._knows_all(one),
+                lambda one=entry: self._lists_all_upstreams(one),
             )
 
-    def _knows_all(self, entry: Process) -> bool:
+    def _lists_all_upstreams(self, entry: Process) -> bool:
         status = self._cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == UPSTREAMS
 
-    def _play(self, faults: list[Fault]) -> None:
+    def _run_load(self, faults: list[Fault]) -> None:
         injector = FaultInjector(self._cluster, faults, self._race)
-        count = int(self._rate * (self._seconds + CALM_S))
+        count = int(self._rate * (self._seconds + RECOVERY_S))
         with ThreadPoolExecutor(CALLERS) as pool:
             started = time.monotonic()
-            playing = threading.Thread(target=injector.run, daemon=True)
-            playing.start()
-            crashing = threading.Thread(target=self._crash, daemon=True)
+            injecting = threading.Thread(target=injector.run, daemon=True)
+            injecting.start()
+            crashing = threading.Thread(
+                target=self._send_crashing_requests, daemon=True
+            )
             crashing.start()
             self._evacuator = Evacuator(
                 [one.address for one in self._cluster.controls],
@@ -211,91 +226,94 @@
                 target=self._evacuator.run, args=(self._seconds,), daemon=True
             )
             evacuating.start()
-            callers = [self._caller(number) for number in range(CALLERS)]
-            free = list(callers)
+            callers = [self._build_caller(number) for number in range(CALLERS)]
+            idle = list(callers)
             for number in range(count):
                 due = started + number / self._rate
                 time.sleep(max(0.0, due - time.monotonic()))
-                pool.submit(self._call, free, number)
-            playing.join()
+                pool.submit(self._run_request, idle, number)
+            injecting.join()
             crashing.join()
             evacuating.join()
-        time.sleep(LATE_S)
+        time.sleep(SETTLE_S)
 
-    def _crash(self) -> None:
-        """Send a request that ends upstreams, while faults are played."""
-        caller = self._caller(0)
+    def _send_crashing_requests(self) -> None:
+        """Send a crashing request at intervals while faults are injected."""
+        caller = self._build_caller(0)
         number = 0
         until = time.monotonic() + self._seconds
         while time.monotonic() < until:
-            name = f"{CRASH_NAME}-{number}"
+            name = f"{CRASH_PREFIX}-{number}"
             with contextlib.suppress(NoEntryError):
                 caller.call(name, "prestamos", "GET", CRASH_PATH)
             number += 1
-            time.sleep(CRASH_GAP_S)
+            time.sleep(CRASH_INTERVAL_S)
 
-    def _caller(self, number: int) -> FakeCaller:
+    def _build_caller(self, number: int) -> FakeCaller:
         seeds = [one.address for one in self._cluster.entries]
-        turn = number % len(seeds)
+        offset = number % len(seeds)
         zone = ZONES[number % len(ZONES)]
-        return FakeCaller(seeds[turn:] + seeds[:turn], zone)
+        return FakeCaller(seeds[offset:] + seeds[:offset], zone)
 
-    def _call(self, free: list[FakeCaller], number: int) -> None:
+    def _run_request(self, idle: list[FakeCaller], number: int) -> None:
         with self._lock:
-            caller = free.pop()
+            caller = idle.pop()
         kind = KINDS[number % len(KINDS)]
-        told = RequestRecord(f"{kind}-{number}", kind)
+        request = RequestRecord(f"{kind}-{number}", kind)
         try:
-            self._see_through(caller, told, number)
+            self._send_until_done(caller, request, number)
         finally:
             with self._lock:
-                free.append(caller)
-                self._told.append(told)
+                idle.append(caller)
+                self._records.append(request)
 
-    def _see_through(
-        self, caller: FakeCaller, told: RequestRecord, number: int
+    def _send_until_done(
+        self, caller: FakeCaller, request: RequestRecord, number: int
     ) -> None:
         service = "prestamos" if number % 2 else "catalogo"
-        give_up_at = time.monotonic() + LOOKUP_S
-        while time.monotonic() < give_up_at:
-            attempt = f"{told.name}.{len(told.attempts)}"
+        deadline = time.monotonic() + LOOKUP_TIMEOUT_S
+        while time.monotonic() < deadline:
+            attempt = f"{request.name}.{len(request.attempts)}"
             try:
-                outcome = self._shoot(caller, told, service, attempt)
+                outcome = self._send_attempt(caller, request, service, attempt)
             except NoEntryError:
                 outcome = REFUSED
-            told.attempts.append((attempt, outcome))
+            request.attempts.append((attempt, outcome))
             if outcome in (ANSWERED, RAN, WRONG):
                 return
-            if told.kind == PLAIN and outcome == UNKNOWN:
+            if request.kind == PLAIN and outcome == UNKNOWN:
                 return
-            if told.kind != LOOKUP and len(told.attempts) >= LOAN_TRIES:
+            if (
+                request.kind != LOOKUP
+                and len(request.attempts) >= MAX_LOAN_ATTEMPTS
+            ):
                 return
-            time.sleep(TRY_AGAIN_S)
+            time.sleep(RETRY_DELAY_S)
 
-    def _shoot(
+    def _send_attempt(
         self,
         caller: FakeCaller,
-        told: RequestRecord,
+        request: RequestRecord,
         service: str,
         attempt: str,
     ) -> str:
-        if told.kind == LOOKUP:
+        if request.kind == LOOKUP:
             return caller.call(attempt, service, "GET", "/shelf").outcome
         headers = {}
-        if told.kind == KEYED:
-            headers["Idempotency-Key"] = told.name
-        body = told.name.encode()
+        if request.kind == KEYED:
+            headers["Idempotency-Key"] = request.name
+        body = request.name.encode()
         return caller.call(
             attempt, service, "POST", "/loans", body, headers
         ).outcome
 
     def _race(self) -> None:
-        """Let two operators change one branch at once."""
+        """Apply two conflicting changes of one branch at the same time."""
         with ThreadPoolExecutor(2) as pool:
             for number in range(2):
-                pool.submit(self._apply_racing, number)
+                pool.submit(self._apply_concurrently, number)
 
-    def _apply_racing(self, number: int) -> None:
+    def _apply_concurrently(self, number: int) -> None:
         folder = self._folder / f"operator-{number}"
         folder.mkdir(exist_ok=True)
         controls = [one.address for one in self._cluster.controls]
@@ -307,7 +325,7 @@
                 OPERATOR_KEY,
             )
         except subprocess.CalledProcessError:
-            # A conflict, or no leader: the loser's due.
+            # Expected: a conflict with the other change, or no leader.
             return
 
     def _apply(self, deadline_ms: int) -> None:
@@ -315,66 +333,68 @@
         document = build_declaration(deadline_ms)
         apply_declaration(self._folder, document, controls, OPERATOR_KEY)
 
-    def _judge(self) -> bool:
+    def _check_outcomes(self) -> bool:
         ran: list[str] = []
         crashes: list[float] = []
         runs: list[tuple[str, float, str]] = []
         for path in sorted(self._folder.glob("ran-*")):
             zone = ZONES[int(path.name.partition("-")[2]) % len(ZONES)]
             for line in path.read_text().splitlines():
-                words = line.split()
-                ran.append(words[-1])
-                runs.append((zone, float(words[0]), words[-1]))
-                if words[-1].startswith(CRASH_NAME):
-                    crashes.append(float(words[0]))
-        verdict = OutcomeOracle(self._told, ran)
-        print(f"{len(self._told)} requests: {verdict.summary()}")
-        found = {
-            "ran-twice": verdict.ran_twice(),
-            "lost": verdict.lost(),
-            "crossed": verdict.crossed(),
-            "false-not-run": verdict.false_not_run(),
+                fields = line.split()
+                ran.append(fields[-1])
+                runs.append((zone, float(fields[0]), fields[-1]))
+                if fields[-1].startswith(CRASH_PREFIX):
+                    crashes.append(float(fields[0]))
+        oracle = OutcomeOracle(self._records, ran)
+        print(f"{len(self._records)} requests: {oracle.summary()}")
+        violations = {
+            "ran-twice": oracle.ran_twice(),
+            "lost": oracle.lost(),
+            "crossed": oracle.crossed(),
+            "false-not-run": oracle.false_not_run(),
             "crashed-on": find_late_crashes(crashes),
             "evacuated": find_forbidden_runs(self._evacuation_periods, runs),
         }
-        for name, places in found.items():
-            for place in places[:5]:
-                print(f"{name}: {place}: {self._story(place)}")
-        counts = " ".join(f"{name} {len(found[name])}" for name in found)
+        for name, offenders in violations.items():
+            for offender in offenders[:5]:
+                print(f"{name}: {offender}: {self._list_outcomes(offender)}")
+        counts = " ".join(
+            f"{name} {len(violations[name])}" for name in violations
+        )
         print(f"soak seed {self._seed}: {counts}")
-        return not any(found.values())
+        return not any(violations.values())
 
     @property
     def _evacuation_periods(self) -> list[EvacuationPeriod]:
         return [] if self._evacuator is None else self._evacuator.periods
 
-    def _story(self, place: str) -> str:
-        name = place.partition(".")[0]
-        for one in self._told:
+    def _list_outcomes(self, offender: str) -> str:
+        name = offender.partition(".")[0]
+        for one in self._records:
             if one.name == name:
-                return " ".join(said for _, said in one.attempts)
+                return " ".join(reported for _, reported in one.attempts)
         return "never told"
 
 
 def find_late_crashes(crashes: list[float]) -> list[str]:
-    """Name the ends of upstreams that a quarantine should have kept off."""
+    """Return the crashes that a quarantine should have prevented."""
     crashes = sorted(crashes)
-    if len(crashes) < CRASHES_TO_KNOW:
+    if len(crashes) < CRASHES_TO_QUARANTINE:
         return []
-    known_at = crashes[CRASHES_TO_KNOW - 1] + QUARANTINE_DELAY_S
-    late = [at for at in crashes if at > known_at]
-    if len(late) <= MOST_CRASHES:
+    quarantined_at = crashes[CRASHES_TO_QUARANTINE - 1] + QUARANTINE_DELAY_S
+    late = [at for at in crashes if at > quarantined_at]
+    if len(late) <= MAX_LATE_CRASHES:
         return []
-    return [f"{CRASH_NAME}.{at - crashes[0]:.1f}" for at in late]
+    return [f"{CRASH_PREFIX}.{at - crashes[0]:.1f}" for at in late]
 
 
 def main() -> int:
-    """Run a soak; the status tells whether the oracle found nothing."""
+    """Run a soak; return 0 unless the oracle finds a violation."""
     arguments = docopt(__doc__)
     seed = arguments["--seed"]
     number = int(seed) if seed else SystemRandom().randrange(MAX_SEED)
-    kept = arguments["--keep"]
-    folder = Path(kept) if kept else Path(tempfile.mkdtemp(prefix="soak-"))
+    keep = arguments["--keep"]
+    folder = Path(keep) if keep else Path(tempfile.mkdtemp(prefix="soak-"))
     folder.mkdir(parents=True, exist_ok=True)
     try:
         soak = Soak(
@@ -385,7 +405,7 @@
         )
         return 0 if soak.run() else 1
     finally:
-        if not kept:
+        if not keep:
             shutil.rmtree(folder, ignore_errors=True)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Make sure that the soak's oracle can find what it looks for."""
+"""Check that the oracle of the soak finds each kind of violation."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "said", "ran", "fault"),
+    ("kind", "reported", "ran", "violation"),
     [
         (KEYED, [UNKNOWN, RAN], ["a.0"], None),
         (KEYED, [REFUSED, ANSWERED], ["a.1"], None),
@@ -38,21 +38,21 @@
         (LOOKUP, [WRONG, ANSWERED], ["a.0", "a.1"], "crossed"),
     ],
 )
-def test_the_oracle_finds(
-    kind: str, said: list[str], ran: list[str], fault: str | None
+def test_oracle_finds_violation(
+    kind: str, reported: list[str], ran: list[str], violation: str | None
 ) -> None:
-    """Find each fault where it is, and none where it is not."""
-    told = RequestRecord("a", kind)
-    for place, outcome in enumerate(said):
-        told.attempts.append((f"a.{place}", outcome))
-    verdict = OutcomeOracle([told], ran)
+    """Find exactly the given violation, or none."""
+    request = RequestRecord("a", kind)
+    for number, outcome in enumerate(reported):
+        request.attempts.append((f"a.{number}", outcome))
+    oracle = OutcomeOracle([request], ran)
     for name in ("ran_twice", "lost", "crossed", "false_not_run"):
-        found = getattr(verdict, name)()
-        assert bool(found) == (name == fault), name
+        found = getattr(oracle, name)()
+        assert bool(found) == (name == violation), name
 
 
-def test_a_seed_gives_one_schedule() -> None:
-    """Play the same faults again for the same seed."""
+def test_seed_determines_schedule() -> None:
+    """Draw the same faults for the same seed, others for another seed."""
     one, again, other = (
         [str(fault) for fault in draw_schedule(Random(seed), 60.0, SIZES)]
         for seed in (7, 7, 8)
@@ -62,8 +62,8 @@
     assert len(one) > 20
 
 
-def test_the_oracle_finds_a_request_that_goes_on_crashing() -> None:
-    """Allow three ends of upstreams, and three more a while after."""
+def test_oracle_finds_late_crashes() -> None:
+    """Allow three crashes, and three more after the quarantine delay."""
     first = [100.0, 100.1, 100.2]
     late = [100.2 + QUARANTINE_DELAY_S + second for second in range(1, 5)]
     assert find_late_crashes([]) == []
@@ -71,8 +71,8 @@
     assert len(find_late_crashes([*late, *first])) == len(late)
 
 
-def test_the_oracle_finds_what_runs_in_an_evacuated_zone() -> None:
-    """Allow what runs before the bound, elsewhere or after the end."""
+def test_oracle_finds_runs_in_evacuated_zone() -> None:
+    """Allow runs before the maximum delay, elsewhere or after the end."""
     period = EvacuationPeriod("surco", 100.0)
     period.ended_at = 120.0
     late = 100.0 + MAX_EFFECT_DELAY_S + 1.0
