--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands set all up: "make demo" and "make test".
+# "make demo" and "make test" install everything they need.
 PYTHON ?= python3.11
 VENV ?= .venv
 BIN = $(VENV)/bin
@@ -18,8 +18,8 @@
 	  $(FOLDERS:%=-e ./%)
 	touch $@
 else
-# An environment named from outside may serve other checkouts as well, so
-# it is used as it is: installing here would point them all at this one.
+# An environment given as VENV may be shared with other checkouts, so it is
+# used as is: installing into it would make them all run this checkout's code.
 $(VENV)/ready:
 	test -x $(BIN)/python
 endif
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Install the packages and what they need below target/, by pip alone.
-# Nothing is done where neither a pin nor a source has changed since. That is
-# told by content: in a copy of a checkout whose target/ came along, the times
-# of the files say nothing, and days were played with the code of before.
+# Install the packages and their dependencies below target/ with pip.
+# Nothing is done if no pin or source has changed since the last build. Changes
+# are detected by content: in a copied checkout that includes target/, file
+# times do not show them, and an outdated build would run.
 set -eu
 sources="packages/core packages/daemon platform"
 stamp=target/built
