--- a/packages/daemon/nutmegchute_daemon/applications.py
+++ b/packages/daemon/nutmegchute_daemon/applications.py
@@ -1,6 +1,6 @@
 """Serve the operators' pages with CherryPy.
 
-This is apart from the HTTP server, so that a role without pages does not
+This is separate from the HTTP server, so that a role without pages does not
 import CherryPy: imports take most of a daemon's start after a power failure.
 """
 
--- a/packages/daemon/nutmegchute_daemon/callers.py
+++ b/packages/daemon/nutmegchute_daemon/callers.py
@@ -1,4 +1,4 @@
-"""Serve each call from its request to the one outcome its caller gets."""
+"""Serve each call, from its request to the outcome its caller receives."""
 
 import threading
 import time
@@ -106,7 +106,7 @@
         )
         # Why all calls are refused at present; None while they are accepted.
         self.refusal: str | None = None
-        # The delay after which a caller refused for it may retry.
+        # The Retry-After delay of these refusals, in seconds.
         self.refusal_retry_s = FULL_RETRY_S
 
     @property
@@ -156,7 +156,7 @@
     def hedge(self, call: PendingCall, send: Send, exchange: Exchange) -> None:
         """Make an attempt in parallel to the one that the worker waits for.
 
-        A body that is not buffered whole can be sent only once, so such a
+        A body that is only partly buffered can be sent only once, so such a
         call is not hedged.
         """
         if call.request.remainder is None:
@@ -199,7 +199,7 @@
             )
             if isinstance(action, Send):
                 assert exchange is not None
-                reply = self._attempt(call, action, exchange)
+                reply = self._attempt_if_possible(call, action, exchange)
                 if reply.outcome == ANSWERED and not reply.failed:
                     # The balancer always ends a call with its first good
                     # answer; waiting for its Finish would add one more round
@@ -224,7 +224,7 @@
             self._answer_unknown(http, reason)
             return
 
-    def _attempt(
+    def _attempt_if_possible(
         self, call: PendingCall, send: Send, exchange: Exchange
     ) -> Reply:
         remainder = call.request.remainder
@@ -261,9 +261,9 @@
             return
         headers = [*reply.headers(), (ENTRY_HEADER, self._name)]
         if not reply.is_framed:
-            # The end of the answer cannot be told from a broken connection.
-            # Without framing the caller is left in the same uncertainty,
-            # instead of being promised a complete answer.
+            # Nothing shows whether such an answer is complete. It is written
+            # without framing too, so that the caller does not take a broken
+            # one for complete.
             http.close_connection = True
             http.response_protocol = "HTTP/1.0"
             headers.append(("Connection", "close"))
@@ -292,7 +292,7 @@
         self._write_answer(http, status, headers, reason)
 
     def _answer_duplicate(self, http: StrictRequest, known: Known) -> None:
-        """Answer a request whose key was used before with the outcome."""
+        """Answer a request whose key was used before with that outcome."""
         if known.outcome == MISMATCH:
             reason = f"the {KEY_HEADER} belongs to another request"
             headers = [(OUTCOME_HEADER, NOT_RUN)]
--- a/packages/daemon/nutmegchute_daemon/connections.py
+++ b/packages/daemon/nutmegchute_daemon/connections.py
@@ -21,7 +21,7 @@
 # written to a connection that is being closed.
 DEFAULT_IDLE_S = 4.0
 # The share used of the idle time that an endpoint's Keep-Alive header
-# allows; the rest covers the time that a request takes to get there.
+# allows; the rest covers the network delay of a request.
 KEEP_ALIVE_SHARE = 0.75
 MAX_IDLE_S = 60.0
 
@@ -143,7 +143,7 @@
             connection.close()
 
     def create(self, endpoint: str, timeout_s: float) -> Connection:
-        """Build a connection that is not connected yet."""
+        """Create a connection without connecting it."""
         host, port = split_address(endpoint)
         return Connection(host, port, timeout=timeout_s)
 
--- a/packages/daemon/nutmegchute_daemon/consensus.py
+++ b/packages/daemon/nutmegchute_daemon/consensus.py
@@ -160,7 +160,7 @@
         return self._node.replica.in_contact(self._loop.time())
 
     def reload(self, settings: Settings) -> None:
-        """Use the replicas operator_managed in changed settings."""
+        """Use the replicas listed in changed settings."""
         self._settings = settings
         self._group.reload(settings)
 
@@ -245,10 +245,11 @@
         """
         node = self._leading_node()
         term = node.replica.term
-        wanted = node.replica.begin_read()
+        read_round = node.replica.begin_read()
         deadline = self._loop.time() + READ_TIMEOUT_S
         while not (
-            node.replica.is_ready and node.replica.confirmed_round >= wanted
+            node.replica.is_ready
+            and node.replica.confirmed_round >= read_round
         ):
             if self._loop.time() >= deadline:
                 raise TimeoutError
@@ -296,15 +297,15 @@
         return self._node
 
     async def _transfer_leadership(self, node: Node) -> None:
-        end = self._loop.time() + TRANSFER_TIMEOUT_S
-        while node.replica.state == LEADER and self._loop.time() < end:
+        give_up_at = self._loop.time() + TRANSFER_TIMEOUT_S
+        while node.replica.state == LEADER and self._loop.time() < give_up_at:
             node.replica.transfer_leadership(self._loop.time())
             self._flush()
             await asyncio.sleep(TRANSFER_PERIOD_S)
 
     async def _retire(self, node: Node) -> None:
-        end = self._loop.time() + RETIRE_TIMEOUT_S
-        while node.replica.is_dispensable and self._loop.time() < end:
+        give_up_at = self._loop.time() + RETIRE_TIMEOUT_S
+        while node.replica.is_dispensable and self._loop.time() < give_up_at:
             node.replica.retire(self._loop.time())
             self._flush()
             await asyncio.sleep(RETIRE_PERIOD_S)
@@ -409,15 +410,15 @@
             return Delivery("", [])
         self._receive(delivery.messages)
         source = delivery.messages[0].source
-        back = []
+        replies = []
         others = []
         for message in self._flush_node():
             if message.target == source:
-                back.append(message)
+                replies.append(message)
             else:
                 others.append(message)
         self._send(others)
-        return Delivery(group, back)
+        return Delivery(group, replies)
 
     def _receive(self, messages: list[Message]) -> None:
         if self._node is None:
@@ -432,8 +433,8 @@
             try:
                 self._storage.recover()
                 self._node = self._load()
-            except StorageError as again:
-                self._problem = str(again)
+            except StorageError as retry_error:
+                self._problem = str(retry_error)
                 await asyncio.sleep(RECOVER_PERIOD_S)
         self._problem = None
         log(Event.STORAGE_RECOVERED)
--- a/packages/daemon/nutmegchute_daemon/controls.py
+++ b/packages/daemon/nutmegchute_daemon/controls.py
@@ -97,7 +97,7 @@
 
     @property
     def runner(self) -> LoopRunner:
-        """Return the runner of handlers' functions on the loop."""
+        """Return the runner of functions on the event loop."""
         return self._runner
 
     def start_tasks(self) -> None:
--- a/packages/daemon/nutmegchute_daemon/daemons.py
+++ b/packages/daemon/nutmegchute_daemon/daemons.py
@@ -169,7 +169,7 @@
             return
         finish_task.cancel()
         log(Event.WORK_ABORTED, "warning", calls=self.abort())
-        # Lets the last answers be written.
+        # Time to write the last answers.
         await asyncio.sleep(FINAL_WRITE_S)
 
     def _serve_metrics(self) -> None:
--- a/packages/daemon/nutmegchute_daemon/dispatchers.py
+++ b/packages/daemon/nutmegchute_daemon/dispatchers.py
@@ -36,7 +36,7 @@
 
 HEDGE_THREADS = 8
 SWEEP_S = 0.1
-# Sweeps check whether the caller is still connected from this age on.
+# Age of a call from which sweeps check that its caller is connected.
 CALLER_CHECK_AGE_S = 0.1
 STOPPING_RETRY_S = 1.0
 
@@ -88,7 +88,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._wakeup_at = 0.0
         self._hedges_in_flight = 0
-        # Receives the reports for control on requests that crash endpoints.
+        # Called with the crash reports to submit to control.
         self.on_reports: SubmitReports
         self._ending = False
         self._hedge_threads = ThreadPoolExecutor(HEDGE_THREADS, "hedge")
--- a/packages/daemon/nutmegchute_daemon/entries.py
+++ b/packages/daemon/nutmegchute_daemon/entries.py
@@ -56,7 +56,7 @@
 # Network delay of a directory's answer and of the last call based on it.
 KEEP_MARGIN_S = 0.5
 RETRY_S = 0.5
-SETTLE_S = 2.0
+SETTLE_TIMEOUT_S = 2.0
 
 
 class EntryDaemon(Daemon):
@@ -65,7 +65,7 @@
     def prepare(self) -> None:
         """Build the balancer and mount the handlers of calls and pages."""
         settings = self._settings
-        own = EntryInfo(
+        own_info = EntryInfo(
             settings.name, settings.http_address, settings.availability_zone
         )
         self._balancer = Balancer(
@@ -78,7 +78,7 @@
         )
         self._members = Roster(secrets.randbits(48))
         self._announcements = Announcements(self._members)
-        self._directory = Directory(own, random.random())
+        self._directory = Directory(own_info, random.random())
         self._services: dict[str, Service] = {}
         self._claimer = Claimer(settings, self._links, self._loop)
         self._open_claims = 0
@@ -148,7 +148,7 @@
         }
 
     async def finish(self) -> None:
-        """Leave the directory, let cached answers expire, finish the calls."""
+        """Leave the directory, wait out cached answers, finish the calls."""
         self._directory.drain()
         log(Event.DRAINING)
         await self._gossiper.exchange_all()
@@ -235,7 +235,7 @@
         self._claimer.settle(Settlement(call.claim, outcome, status))
 
     async def _settle_all(self) -> None:
-        give_up_at = self._loop.time() + SETTLE_S
+        give_up_at = self._loop.time() + SETTLE_TIMEOUT_S
         while not self._claimer.idle and self._loop.time() < give_up_at:
             await asyncio.sleep(DRAIN_TICK_S)
 
@@ -272,7 +272,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Describe this entry to an operator."""
+        """Return the state of this entry for operators."""
         return {
             "entry": self._directory.own_entry,
             "entries": self._directory.usable(boot_time()),
--- a/packages/daemon/nutmegchute_daemon/exchanges.py
+++ b/packages/daemon/nutmegchute_daemon/exchanges.py
@@ -200,7 +200,7 @@
         if not read():  # type: ignore[no-untyped-call]
             return False
         connection = self.inheaders.get(b"Connection", b"").lower()
-        if b"close" in [word.strip() for word in connection.split(b",")]:
+        if b"close" in [option.strip() for option in connection.split(b",")]:
             self.close_connection = True
         return True
 
--- a/packages/daemon/nutmegchute_daemon/exporters.py
+++ b/packages/daemon/nutmegchute_daemon/exporters.py
@@ -31,7 +31,7 @@
     10.0,
 )
 # Durations buffered before they are sorted into buckets; a busy entry records
-# this many in some seconds.
+# this many in a few seconds.
 MAX_BUFFERED_TIMINGS = 2000
 
 
--- a/packages/daemon/nutmegchute_daemon/followers.py
+++ b/packages/daemon/nutmegchute_daemon/followers.py
@@ -1,4 +1,4 @@
-"""Follow the configuration that the control replicas keep."""
+"""Follow the configuration that the control replicas store."""
 
 import asyncio
 import time
--- a/packages/daemon/nutmegchute_daemon/gossips.py
+++ b/packages/daemon/nutmegchute_daemon/gossips.py
@@ -109,8 +109,8 @@
         await asyncio.gather(*map(self._exchange, self._peers()))
 
     def _peers(self) -> list[str]:
-        own = self._settings.grpc_address
-        return [one for one in self._settings.entries if one != own]
+        own_address = self._settings.grpc_address
+        return [one for one in self._settings.entries if one != own_address]
 
     def _start_exchange(self, address: str, now: float) -> None:
         self._exchanged_at[address] = now
@@ -149,8 +149,9 @@
         self._names[gossip.grpc_address] = name
         valid_at = self._members.receive(name, gossip.message, now)
         if valid_at is None:
-            # One of the two entries is new to the other. Only the next
-            # exchange can be dated, so make it due at once.
+            # One of the two entries is new to the other, so the age of this
+            # message is unknown. That of the next one will be known; make
+            # its exchange due at once.
             self._exchanged_at.pop(gossip.grpc_address, None)
             return
         self._exchanged_at[gossip.grpc_address] = now
--- a/packages/daemon/nutmegchute_daemon/handlers.py
+++ b/packages/daemon/nutmegchute_daemon/handlers.py
@@ -19,7 +19,7 @@
 
 
 class Runner(Protocol):
-    """Schedule functions of page handlers on the event loop."""
+    """Run functions of page handlers on the event loop."""
 
     def schedule(self, function: Callable[..., Any], *args: Any) -> None:
         """Run a function on the event loop without waiting for it."""
--- a/packages/daemon/nutmegchute_daemon/operators.py
+++ b/packages/daemon/nutmegchute_daemon/operators.py
@@ -203,14 +203,16 @@
         """List audit records, oldest first."""
         try:
             after = int(since) if since else None
-            most = int(limit) if limit else AUDIT_LIMIT
+            max_count = int(limit) if limit else AUDIT_LIMIT
         except ValueError as error:
             raise cherrypy.HTTPError(
                 400, "since and limit are whole numbers"
             ) from error
-        if most < 1:
+        if max_count < 1:
             raise cherrypy.HTTPError(400, "limit is at least 1")
-        return as_json(self._runner.run_sync(self._audit_records, after, most))
+        return as_json(
+            self._runner.run_sync(self._audit_records, after, max_count)
+        )
 
     @cherrypy.expose
     def quarantine(self) -> bytes:
@@ -268,12 +270,12 @@
         }
 
     def _audit_records(
-        self, after: int | None, most: int
+        self, after: int | None, max_count: int
     ) -> list[AuditRecord]:
         records = self._daemon.machine.tree.audit
         if after is None:
-            return records[-most:]
-        return [one for one in records if one.index > after][:most]
+            return records[-max_count:]
+        return [one for one in records if one.index > after][:max_count]
 
     def _cases(self) -> list[CaseStatus]:
         return self._daemon.machine.quarantine.case_statuses()
--- a/packages/daemon/nutmegchute_daemon/probes.py
+++ b/packages/daemon/nutmegchute_daemon/probes.py
@@ -25,7 +25,7 @@
 
 
 class Prober:
-    """Carry out probes and drop those that would come too late."""
+    """Query loads on threads; drop queries that would be answered too late."""
 
     __slots__ = (
         "_path",
@@ -50,7 +50,7 @@
         self._pending = 0
 
     def enqueue(self, probe: Probe) -> None:
-        """Query in the background; the loop calls this."""
+        """Queue a load query for the threads; the loop calls this."""
         if self._pending >= MAX_PENDING:
             # All threads wait for slow endpoints. A late report is useless,
             # and a call that waits for this one waits only briefly.
--- a/packages/daemon/nutmegchute_daemon/readers.py
+++ b/packages/daemon/nutmegchute_daemon/readers.py
@@ -80,15 +80,15 @@
     # The raw target is forwarded unchanged: decoding it would turn an
     # escaped slash or question mark into another path.
     raw = http.uri[len(CALL_PATH) :].decode("ascii")
-    service, slash, rest = raw.partition("/")
+    service, slash, path_and_query = raw.partition("/")
     if "?" in service:
         service, _, query = service.partition("?")
-        rest = f"?{query}{slash}{rest}"
+        path_and_query = f"?{query}{slash}{path_and_query}"
     # The ledger compares whole requests, so that a key reused for another
-    # request is recognized; the body of a keyed request is buffered whole.
+    # request is recognized; so all of a keyed request's body is buffered.
     keyed = http.inheaders.get(KEY_HEADER.encode()) is not None
     size = body_bytes + 1 if keyed else buffer_bytes
-    return service, build_request(http, "/" + rest, body_bytes, size)
+    return service, build_request(http, "/" + path_and_query, body_bytes, size)
 
 
 def build_request(
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -1,4 +1,4 @@
-"""Run the router role: an entry that gets all its state from control.
+"""Run the router role: an entry that receives all its state from control.
 
 Callers send requests to hosts and paths, which the configuration's routes
 map to services. Endpoints announce themselves to control.
@@ -146,7 +146,7 @@
         )
         if health is not None:
             health.add_handler(ALL_PATHS, self._answer_health)
-        self._limit_extra()
+        self._limit_extra_sends()
         self._limit_inquiries()
         self._limit_warm_ups()
 
@@ -171,7 +171,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether calls can be served here."""
+        """Return whether calls can be served here."""
         if self._leaving or self._table is None:
             return False
         return self._in_contact and self._catalog.has_synced
@@ -208,7 +208,7 @@
         """Apply the seeds and limits of changed settings."""
         super().reload(settings)
         self._watcher.replace_seeds(settings.seeds)
-        self._limit_extra()
+        self._limit_extra_sends()
         self._limit_inquiries()
         self._limit_warm_ups()
 
@@ -341,7 +341,7 @@
         self._shares.set_total(reply.calls_per_s, reply.entries)
         self._entry_count = max(self._entry_count, reply.entries)
         self._counted |= reply.counted
-        self._limit_extra()
+        self._limit_extra_sends()
         self._limit_inquiries()
 
     def _detect_pause(self) -> bool:
@@ -419,7 +419,7 @@
             self._settings.warm_up_overage, self._settings.warm_up_slack_per_s
         )
 
-    def _limit_extra(self) -> None:
+    def _limit_extra_sends(self) -> None:
         if not self._settings.extra_fixed:
             return
         limit = ExtraLimit(
--- a/packages/daemon/nutmegchute_daemon/senders.py
+++ b/packages/daemon/nutmegchute_daemon/senders.py
@@ -190,12 +190,12 @@
 
     @property
     def failed(self) -> bool:
-        """Return whether the status shows a broken endpoint."""
+        """Return whether the status reports a failure of the endpoint."""
         return self.status >= FIRST_FAILED_STATUS
 
     @property
     def is_framed(self) -> bool:
-        """Return whether a complete answer can be told from a broken one."""
+        """Return whether the end of a complete answer can be detected."""
         response = self._response
         if response is None or response.chunked:
             return True
@@ -368,7 +368,9 @@
             outcome = CANCELLED if exchange.ended else NOT_RUN
             return Reply(outcome, time.monotonic() - started)
         try:
-            response = self._exchange(request, connection, exchange, deadline)
+            response = self._send_request(
+                request, connection, exchange, deadline
+            )
             self._format.check(request.headers, response)
             reply = self._read_reply(
                 response, connection, endpoint, exchange, started, deadline
@@ -419,7 +421,7 @@
             return None
         return connection
 
-    def _exchange(
+    def _send_request(
         self,
         request: Request,
         connection: Connection,
@@ -498,7 +500,9 @@
 
 def connection_options(value: str) -> set[str]:
     """Return the header names listed in a Connection header."""
-    return {word.strip().lower() for word in value.split(",") if word.strip()}
+    return {
+        option.strip().lower() for option in value.split(",") if option.strip()
+    }
 
 
 def suppress_user_agent(headers: HTTPHeaderDict) -> None:
--- a/packages/daemon/nutmegchute_daemon/settings.py
+++ b/packages/daemon/nutmegchute_daemon/settings.py
@@ -236,7 +236,7 @@
 
     @property
     def extra_ratio(self) -> float:
-        """Return the extra sends that each call of a service earns."""
+        """Return the number of extra sends allowed per call of a service."""
         return float(self._values["extra_ratio"])
 
     @property
--- a/packages/daemon/nutmegchute_daemon/sinks.py
+++ b/packages/daemon/nutmegchute_daemon/sinks.py
@@ -8,7 +8,7 @@
 from typing import Generic
 from typing import TypeVar
 
-# Lines queued while the log's reader does not read: some seconds of a busy
+# Lines queued while the log's reader does not read: a few seconds of a busy
 # process, under a megabyte.
 MAX_QUEUED_LINES = 2000
 # Further lines in a second are dropped and counted. The line of a call costs
@@ -29,8 +29,8 @@
 class LineSink(Generic[T]):
     """Write records to a file descriptor on a thread.
 
-    The thread calls ``build_renderer`` once, and what it returns for each
-    record, to render the record as a line.
+    The thread calls ``build_renderer`` once and renders each record as a
+    line with the function that this returns.
 
     On the event loop, a full disk, a closed pipe or a reader that stopped
     would block the loop or raise in the middle of a decision. Lines that
--- a/packages/daemon/nutmegchute_daemon/storages.py
+++ b/packages/daemon/nutmegchute_daemon/storages.py
@@ -28,8 +28,8 @@
 class Identity(msgspec.Struct, frozen=True):
     """Identify a folder's replica, its group and the group's first members.
 
-    ``group`` is None until a group was formed or joined. ``founding`` says
-    that the folder was created at the deployment's first start.
+    ``group`` is None until a group was formed or joined. ``founding`` is
+    set if the folder was created at the deployment's first start.
     """
 
     identity: str
@@ -228,7 +228,9 @@
 
     def _load_snapshot(self, genesis: Membership) -> Snapshot:
         names = [
-            n for n in self._disk.names() if n.startswith(SNAPSHOT_PREFIX)
+            file_name
+            for file_name in self._disk.names()
+            if file_name.startswith(SNAPSHOT_PREFIX)
         ]
         if not names:
             return Snapshot(membership=genesis)
--- a/packages/daemon/nutmegchute_daemon/trees.py
+++ b/packages/daemon/nutmegchute_daemon/trees.py
@@ -8,7 +8,7 @@
 
 
 class TreeCopy:
-    """Apply replies of newer branches; never go back to an older tree."""
+    """Apply the changes of newer replies; ignore older ones."""
 
     __slots__ = ("_documents", "_index", "_revisions")
 
--- a/packages/daemon/nutmegchute_daemon/watchers.py
+++ b/packages/daemon/nutmegchute_daemon/watchers.py
@@ -49,10 +49,10 @@
 
     __slots__ = (
         "_chooser",
+        "_contact_lost",
         "_entry",
         "_failures",
         "_links",
-        "_lost",
         "_pending",
         "_reached",
         "_task",
@@ -64,7 +64,7 @@
         self._chooser = chooser
         self._links = links
         self._entry = entry
-        self._lost = False
+        self._contact_lost = False
         self._reached = False
         self._failures = 0
         self._pending: asyncio.Task[WatchReply | None] | None = None
@@ -161,9 +161,9 @@
             # Cancelled by renew(): send the present state instead.
 
     def _report_contact(self, address: str, lost: bool) -> None:
-        if lost == self._lost:
+        if lost == self._contact_lost:
             return
-        self._lost = lost
+        self._contact_lost = lost
         if lost:
             log(Event.CONTROL_LOST, "warning", address=address)
         else:
