--- a/packages/fakes/nutmegchute_fakes/faults.py
+++ b/packages/fakes/nutmegchute_fakes/faults.py
@@ -116,7 +116,7 @@
         self._faults = list(faults)
         self._race = race
         self._repairs: list[Repair] = []
-        self._busy: set[str] = set()
+        self._under_repair: set[str] = set()
         self._now = 0.0
 
     def run(self) -> None:
@@ -136,9 +136,9 @@
             threading.Thread(target=self._race, daemon=True).start()
             return
         process = self._processes[fault.role][fault.index]
-        if process.name in self._busy or not process.is_running:
+        if process.name in self._under_repair or not process.is_running:
             return
-        self._busy.add(process.name)
+        self._under_repair.add(process.name)
         if fault.kind == KILL:
             process.kill()
         elif fault.kind == FREEZE:
@@ -151,9 +151,9 @@
     def _schedule_restarts(self) -> None:
         """Schedule a restart of each upstream that exited by itself."""
         for process in self._processes["upstream"]:
-            if process.is_running or process.name in self._busy:
+            if process.is_running or process.name in self._under_repair:
                 continue
-            self._busy.add(process.name)
+            self._under_repair.add(process.name)
             restart_at = self._now + CRASH_DOWN_S
             self._repairs.append(Repair(process, KILL, restart_at))
 
@@ -163,5 +163,5 @@
             if self._now < repair.at_s or not repair.advance(self._now):
                 waiting.append(repair)
                 continue
-            self._busy.discard(repair.process.name)
+            self._under_repair.discard(repair.process.name)
         self._repairs = waiting
--- a/packages/fakes/nutmegchute_fakes/soak.py
+++ b/packages/fakes/nutmegchute_fakes/soak.py
@@ -65,7 +65,7 @@
 CALLERS = 12
 RECOVERY_S = 10.0
 RETRY_DELAY_S = 0.25
-LOOKUP_TIMEOUT_S = 25.0
+REQUEST_TIMEOUT_S = 25.0
 MAX_LOAN_ATTEMPTS = 12
 SETTLE_S = 3.0
 MAX_SEED = 10**6
@@ -96,7 +96,7 @@
 
     @property
     def last_outcome(self) -> str:
-        """Return the outcome of the last attempt."""
+        """Return the outcome of the last attempt, UNKNOWN without any."""
         return self.attempts[-1][1] if self.attempts else UNKNOWN
 
 
@@ -271,7 +271,7 @@
         self, caller: FakeCaller, request: RequestRecord, number: int
     ) -> None:
         service = "prestamos" if number % 2 else "catalogo"
-        deadline = time.monotonic() + LOOKUP_TIMEOUT_S
+        deadline = time.monotonic() + REQUEST_TIMEOUT_S
         while time.monotonic() < deadline:
             attempt = f"{request.name}.{len(request.attempts)}"
             try:
