--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -341,8 +341,8 @@
 ) -> None:
     """Cancel the attempt of a caller that disconnects.
 
-    Otherwise the slot would stay taken until the deadline, and the upstream,
-    whose connection stays open, would go on working.
+    Otherwise the slot would stay occupied until the deadline, and the
+    upstream, whose connection stays open, would continue working.
     """
     harness = build(faulty_upstreams.never_answer, deadline_ms=60000)
     with harness.server.connect() as sock:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -115,7 +115,7 @@
     """Guard against keyed calls that wait while control has no quorum.
 
     A claim that was sent may be in the log, so it is released as soon
-    as there is a leader; otherwise its key would stay taken.
+    as there is a leader; otherwise its key would stay claimed.
     """
 
     async def scenario() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -337,7 +337,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the daemons use the loop's time."""
+    """Replace the daemons' clock by the loop's time."""
 
     def now() -> float:
         return asyncio.get_event_loop().time()
@@ -529,7 +529,7 @@
 
 
 def test_callers_get_the_entries_of_a_zone_from_any_replica() -> None:
-    """Return all entries of a zone whose replica is gone."""
+    """Return all entries of a zone whose replica has failed."""
 
     async def scenario(cluster: Cluster) -> None:
         await cluster.start(4.0)
@@ -632,9 +632,9 @@
 
     async def scenario(cluster: Cluster) -> None:
         await cluster.start(6.0)
-        asked, other = cluster.replicas[:2]
+        registering, other = cluster.replicas[:2]
         zone = cluster.members[1].availability_zone
-        nearest = asked.registrar.nearest
+        nearest = registering.registrar.nearest
         assert nearest(zone) == cluster.members[1].http_address
         cluster.freeze(other.address)
         await asyncio.sleep(GONE_AFTER_S)
@@ -649,7 +649,7 @@
     """Serve 270 endpoints to 312 entries with few messages and bytes.
 
     Everything starts at once and runs for thirty seconds. If each entry
-    watched every replica, this would take some 41 MB between zones.
+    watched every replica, this would send about 41 MB between zones.
     """
 
     def large() -> Cluster:
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -23,7 +23,7 @@
 
 
 def test_other_requests_have_other_fingerprints() -> None:
-    """Give different requests and callers different fingerprints."""
+    """Compute different fingerprints for different requests and callers."""
     others = [
         _fingerprint(method="PUT"),
         _fingerprint(target="/loan/2?x=1"),
--- a/tests/test_followers.py
+++ b/tests/test_followers.py
@@ -219,7 +219,7 @@
     """Guard against an outage of all entries when control is down.
 
     The entries reach one another, and no change can be accepted without
-    control, so all go on.
+    control, so all continue.
     """
     harness.links.answer = lambda address, request: tree(5)
     harness.follow()
@@ -250,10 +250,10 @@
     ("others", "leaderless", "acts"),
     [(0, 0, True), (1, 0, False), (1, 1, True), (15, 7, False), (15, 8, True)],
 )
-def test_more_than_half_of_all_entries_go_on(
+def test_more_than_half_of_all_entries_continue(
     others: int, leaderless: int, acts: bool
 ) -> None:
-    """Guard against both sides of a partition going on without a lease."""
+    """Guard against routing on both sides of a partition without a lease."""
     lease = TreeLease(others)
     for number in range(leaderless):
         lease.record_leaderless(f"entry-{number}", 100.0)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -112,7 +112,7 @@
 
 
 def test_replica_introduces_itself_to_the_members_in_its_log() -> None:
-    """The listed replicas may all be gone, so members of the log count too."""
+    """Contact the log's members too: listed ones may have been replaced."""
 
     async def run() -> None:
         links = FakeLinks({})
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -105,6 +105,6 @@
         if isinstance(part, ast.Constant):
             parts.append(str(part.value))
         elif isinstance(part, ast.FormattedValue):
-            word = ast.unparse(part.value).rpartition(".")[2]
-            parts.append(word.upper())
+            name = ast.unparse(part.value).rpartition(".")[2]
+            parts.append(name.upper())
     return "".join(parts)
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -33,7 +33,7 @@
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
 
-    def run(self, *words: str, entry: str = "") -> tuple[int, str]:
+    def run(self, *arguments: str, entry: str = "") -> tuple[int, str]:
         """Run a command; return its status and what it printed."""
         control = ",".join(one.address for one in self._cluster.controls)
         environment = {
@@ -46,13 +46,13 @@
             mock.patch.dict(os.environ, environment),
             contextlib.redirect_stdout(out),
         ):
-            status = main(list(words))
+            status = main(list(arguments))
         return status, out.getvalue()
 
-    def listing(self, *words: str, entry: str = "") -> Any:
+    def listing(self, *arguments: str, entry: str = "") -> Any:
         """Run a listing and return what its JSON holds."""
-        status, out = self.run(*words, "--json", entry=entry)
-        assert status == 0, words
+        status, out = self.run(*arguments, "--json", entry=entry)
+        assert status == 0, arguments
         return msgspec.json.decode(out)
 
 
@@ -100,10 +100,10 @@
     lost.kill()
     own = cluster.add_control("control-4")
     _until(lambda: "waiting" in _kinds(operator).values())
-    words = ["control-3", "control-4", own["grpc_address"]]
-    words.append(own["http_address"])
+    arguments = ["control-3", "control-4", own["grpc_address"]]
+    arguments.append(own["http_address"])
     _until(lambda: operator.run("status")[0] == 0)
-    assert operator.run("replicas", "replace", *words)[0] == 0
+    assert operator.run("replicas", "replace", *arguments)[0] == 0
     _until(lambda: _kinds(operator).get("control-4") == "voter")
     # A replica that sent a message recently is listed as waiting for some
     # seconds.
--- a/tests/test_quarantine_reporters.py
+++ b/tests/test_quarantine_reporters.py
@@ -86,7 +86,7 @@
 
 
 def test_trial_request_without_a_leader_fails_soon() -> None:
-    """Let only the first trial request wait while there is no leader.
+    """Delay only the first trial request while there is no leader.
 
     Later calls that need a trial must not each wait for the timeout. Reports
     of crashes are kept meanwhile and reach the next leader.
--- a/tests/test_senders.py
+++ b/tests/test_senders.py
@@ -147,7 +147,7 @@
 
 
 def test_closed_connection_is_no_crash(start: Start) -> None:
-    """Do not take a closed connection for a crash of the endpoint.
+    """Do not count a closed connection as a crash of the endpoint.
 
     Only an address that refuses connections shows that its process ended.
     """
@@ -168,7 +168,7 @@
 ) -> None:
     """Raise an error if a long answer breaks while it is streamed.
 
-    Without it the caller would take half a catalogue for the whole.
+    Without it the caller would treat half a catalogue as complete.
     """
     client = EndpointClient(start(behaviour).address)
     assert client.send() == ANSWERED
@@ -285,7 +285,7 @@
 def test_answer_without_length_is_not_framed(start: Start) -> None:
     """Report an answer that only a close ends as not framed.
 
-    Its end cannot be told from a broken connection.
+    Its end cannot be distinguished from a broken connection.
     """
     client = EndpointClient(
         start(faulty_upstreams.answer_without_length).address
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -261,7 +261,7 @@
 
 
 def test_failed_save_leaves_nothing_behind() -> None:
-    """A save fails half way on a full disk; after recovery, saves go on.
+    """A save fails half way on a full disk; after recovery, saves continue.
 
     The bytes already written look like an incomplete frame. If they were
     left, the next save would follow them, and the next restart would find
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -139,8 +139,8 @@
 def test_incomplete_body_runs_nothing(build: Any, kept: int) -> None:
     """Run no part of a body whose caller disconnects.
 
-    The caller closes after two thirds of the body. No endpoint may take that
-    for a complete request, even if it was sent the beginning.
+    The caller closes after two thirds of the body. No endpoint may treat that
+    as a complete request, even if it was sent the beginning.
     """
     harness = build(faulty_upstreams.answer, kept=kept)
     with harness.server.connect() as caller:
