--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -127,18 +127,18 @@
     @property
     def zones(self) -> list[str]:
         """Return the zone of each entry."""
-        found = []
+        zones = []
         for zone, count in zip(ZONES, self.entries, strict=False):
-            found.extend([zone] * count)
-        return found
+            zones.extend([zone] * count)
+        return zones
 
     @property
     def weights(self) -> list[float]:
         """Return the share of the calls that each entry gets."""
-        found = []
+        weights = []
         for share, count in zip(self.callers, self.entries, strict=True):
-            found.extend([share / count] * count)
-        return found
+            weights.extend([share / count] * count)
+        return weights
 
 
 # Long work, long deadlines, similar zones.
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""Compare load balancing policies under load, in virtual time.
+"""Compare load balancing strategies under load, in virtual time.
 
 Usage:
   policy [--seeds=N] [--processes=N] [--only=TEXT] [--switch-off]
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -238,8 +238,8 @@
     ) -> EndpointStats:
         """Return the least loaded endpoint; break ties at random."""
         min_load = min(one.load for one in candidates)
-        sampled = [one for one in candidates if one.load == min_load]
-        return self.random.choice(sampled)
+        least_loaded = [one for one in candidates if one.load == min_load]
+        return self.random.choice(least_loaded)
 
 
 class Probing(Baseline):
@@ -296,8 +296,8 @@
         """
         while self._pool and now - self._pool[0][0] > PROBE_TTL_S:
             self._pool.popleft()
-        names = {one.name: one for one in candidates}
-        fresh = [one for one in self._pool if one[1] in names]
+        by_name = {one.name: one for one in candidates}
+        fresh = [one for one in self._pool if one[1] in by_name]
         if len(fresh) < 2:
             sampled = self.random.sample(candidates, min(2, len(candidates)))
             return min(sampled, key=lambda one: one.in_flight)
@@ -306,7 +306,7 @@
         cold = [one for one in fresh if one[2] <= hot]
         best = min(cold, key=lambda one: (one[3], one[2]))
         self._pool.remove(best)
-        return names[best[1]]
+        return by_name[best[1]]
 
 
 BASELINES: dict[str, Callable[[Random], Baseline]] = {
--- a/benchmarks/policy_costs.py
+++ b/benchmarks/policy_costs.py
@@ -79,9 +79,9 @@
     def call(self, layer: int, attempt: int) -> None:
         """Send a call through a layer and all layers below."""
         balancer = self._layers[layer]
-        number = attempt if self._marks_retries else 1
+        reported_attempt = attempt if self._marks_retries else 1
         _, actions = balancer.arrive(
-            SERVICE, "GET", "/", self._now, None, number
+            SERVICE, "GET", "/", self._now, None, reported_attempt
         )
         pending: deque[Action] = deque(actions)
         while pending:
