--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -620,7 +620,7 @@
         balancer.warm_ups.update_group(group, 0.0)
         balancer.configure({SERVICE: Service(SERVICE, document)}, 0.0)
         limit = ExtraLimit(EXTRA_RATIO, EXTRA_FIXED)
-        balancer.limit_extra(limit.share, limit.burst(len(weights)))
+        balancer.limit_extra_sends(limit.share, limit.burst(len(weights)))
         shares = ProbeShare()
         shares.reported = weights[entry]
         shares.set_total(1.0, len(weights))
--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -116,9 +116,9 @@
             return []
         return self._dispatch_all(now)
 
-    def limit_extra(self, share: float, burst: float) -> None:
+    def limit_extra_sends(self, share: float, burst: float) -> None:
         """Set this entry's share of each service's retries and hedges."""
-        self._pools.limit_extra(share, burst)
+        self._pools.limit_extra_sends(share, burst)
 
     def limit_inquiries(self, per_endpoint: float, share: float) -> None:
         """Set the load queries allowed per second and endpoint.
--- a/packages/core/nutmegchute_core/directories.py
+++ b/packages/core/nutmegchute_core/directories.py
@@ -76,17 +76,17 @@
         self._credits: dict[str | None, dict[str, float]] = {}
 
     def update(
-        self, entry: EntryInfo, demand: dict[str, float], dated_at: float
+        self, entry: EntryInfo, demand: dict[str, float], valid_at: float
     ) -> None:
-        """Record an entry's description of itself as of ``dated_at``."""
+        """Record an entry's description of itself as of ``valid_at``."""
         if entry.name == self._own_entry.name:
             return
         known = self._entries.get(entry.name)
         if known is None and len(self._entries) >= MAX_ENTRIES:
             return
-        if known is not None and dated_at < known[2]:
+        if known is not None and valid_at < known[2]:
             return
-        self._entries[entry.name] = (entry, demand, dated_at)
+        self._entries[entry.name] = (entry, demand, valid_at)
 
     def remove(self, name: str) -> None:
         """Remove an entry that did not answer, until its next update."""
@@ -94,8 +94,8 @@
 
     def expire(self, now: float) -> None:
         """Remove the entries whose lease has expired."""
-        for name, (_, _, dated_at) in list(self._entries.items()):
-            if now - dated_at > ENTRY_LEASE_S:
+        for name, (_, _, valid_at) in list(self._entries.items()):
+            if now - valid_at > ENTRY_LEASE_S:
                 del self._entries[name]
 
     def drain(self) -> None:
@@ -117,8 +117,8 @@
     def usable(self, now: float) -> list[EntryInfo]:
         """Return the entries that callers may use, sorted by name."""
         entries = [] if self._own_entry.draining else [self._own_entry]
-        for entry, _, dated_at in self._entries.values():
-            if entry.draining or now - dated_at > ENTRY_LEASE_S:
+        for entry, _, valid_at in self._entries.values():
+            if entry.draining or now - valid_at > ENTRY_LEASE_S:
                 continue
             entries.append(entry)
         return sorted(entries, key=lambda entry: entry.name)
--- a/packages/core/nutmegchute_core/machines.py
+++ b/packages/core/nutmegchute_core/machines.py
@@ -73,7 +73,7 @@
 
     @property
     def entries(self) -> set[str]:
-        """Return the enrolled entries, which may act on the tree."""
+        """Return the enrolled entries, which may route by the tree."""
         return self._entries
 
     @property
--- a/packages/core/nutmegchute_core/pool_sets.py
+++ b/packages/core/nutmegchute_core/pool_sets.py
@@ -74,11 +74,11 @@
             pools[name] = pool
         self._by_service = pools
 
-    def limit_extra(self, share: float, burst: float) -> None:
+    def limit_extra_sends(self, share: float, burst: float) -> None:
         """Set this entry's share of each service's retries and hedges."""
         self._extra = (share, burst)
         for pool in self.values():
-            pool.limit_extra(share, burst)
+            pool.limit_extra_sends(share, burst)
 
     def limit_inquiries(self, per_endpoint: float, share: float) -> None:
         """Set the load queries allowed per second and endpoint."""
@@ -123,7 +123,7 @@
             self._warm_ups,
         )
         if self._extra is not None:
-            pool.limit_extra(*self._extra)
+            pool.limit_extra_sends(*self._extra)
         pool.planner.limit(*self._inquiry_limit)
         pool.eligibility.evacuate(self._evacuated, now)
         return pool
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -163,7 +163,7 @@
         """Return whether endpoints may be queried at all."""
         return self.holds_calls and self.planner.has_budget
 
-    def limit_extra(self, share: float, burst: float) -> None:
+    def limit_extra_sends(self, share: float, burst: float) -> None:
         """Set this entry's share of the retries and hedges."""
         self._extra.limit(share, burst)
 
--- a/packages/daemon/nutmegchute_daemon/routers.py
+++ b/packages/daemon/nutmegchute_daemon/routers.py
@@ -426,7 +426,7 @@
             self._settings.extra_ratio, self._settings.extra_fixed
         )
         burst = limit.burst(self._entry_count) if self._counted else MIN_BURST
-        self._balancer.limit_extra(limit.share, burst)
+        self._balancer.limit_extra_sends(limit.share, burst)
 
     def _sweep(self) -> None:
         self._detect_pause()
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -155,7 +155,7 @@
     with less time left because its caller retried, is sent again at once.
     """
     balancer = build("a:1", "b:1")
-    balancer.limit_extra(0.2, 2.0)
+    balancer.limit_extra_sends(0.2, 2.0)
     outcomes = []
     for deadline_s in (1.0, 1.0, 0.9):
         _, (send,) = balancer.arrive("catalogo", "POST", "/", 0.0, deadline_s)
