--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -68,7 +68,7 @@
     """Simulate services in virtual time.
 
     ``crashes`` decides by fingerprint which requests end an endpoint that runs
-    them. Without ``detect_crashes`` entries do not learn of crashes.
+    them. Without ``detect_crashes`` entries do not detect crashes.
     """
 
     def __init__(
@@ -180,19 +180,20 @@
         self.schedule(self.now + restart_s, lambda: self._start(server))
         instance = server.instance
         self.schedule(
-            self.now + EXPIRY_S, lambda: self._forget(server, instance)
+            self.now + EXPIRY_S, lambda: self._expire(server, instance)
         )
 
     def restart(self, entry: int) -> None:
         """Restart an entry and send it all cases."""
-        fresh = Balancer(self.random.getrandbits(30))
-        self.balancers[entry] = fresh
+        restarted = Balancer(self.random.getrandbits(30))
+        self.balancers[entry] = restarted
         self._armed.pop(entry, None)
         for key in [key for key in self._calls if key[0] == entry]:
             del self._calls[key]
         self._configure(entry)
         self._perform(
-            entry, fresh.apply_quarantine(self.quarantine.since(0), self.now)
+            entry,
+            restarted.apply_quarantine(self.quarantine.since(0), self.now),
         )
 
     def count_late(self, fingerprint: str, propagation_s: float) -> int:
@@ -208,7 +209,7 @@
         server.alive = True
         self.schedule(self.now + ANNOUNCE_S, self._announce_all)
 
-    def _forget(self, server: Server, instance: str) -> None:
+    def _expire(self, server: Server, instance: str) -> None:
         if server.instance == instance and not server.alive:
             self._announce_all()
 
@@ -250,10 +251,10 @@
         self._arm(entry)
 
     def _end(self, entry: int, action: Any) -> None:
-        named = self._calls.pop((entry, action.call_id), None)
-        if named is None:
+        pending = self._calls.pop((entry, action.call_id), None)
+        if pending is None:
             return
-        fingerprint, arrived_at = named
+        fingerprint, arrived_at = pending
         outcome = "lost"
         if isinstance(action, Refuse):
             outcome = "refused"
@@ -313,9 +314,9 @@
 
     def _send(self, entry: int, send: Send) -> None:
         key = entry, send.call_id, send.attempt
-        named = self._calls.get((entry, send.call_id))
-        assert named is not None
-        fingerprint = named[0]
+        pending = self._calls.get((entry, send.call_id))
+        assert pending is not None
+        fingerprint = pending[0]
         server = self._find_server(send.endpoint)
         instance = send.instance
         self.schedule(
@@ -389,11 +390,11 @@
         )
         balancer = self.balancers[entry]
 
-        def take() -> None:
+        def deliver() -> None:
             if self.balancers[entry] is balancer:
                 self._perform(entry, balancer.finish(result, self.now))
 
-        self.schedule(self.now + NETWORK_S, take)
+        self.schedule(self.now + NETWORK_S, deliver)
 
     def _report(self, entry: int, reports: list[Any]) -> None:
         balancer = self.balancers[entry]
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -23,10 +23,10 @@
     """Declare "catalogo" with a key and "prestamos" without."""
     found = Announcements(Roster(1))
     digest = hashlib.sha256(KEY.encode()).hexdigest()
-    locked = {"key_sha256": digest, "rules": [rule()]}
+    keyed = {"key_sha256": digest, "rules": [rule()]}
     found.configure(
         {
-            "catalogo": Service("catalogo", locked),
+            "catalogo": Service("catalogo", keyed),
             "prestamos": Service("prestamos", {"rules": [rule()]}),
         }
     )
--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -126,10 +126,10 @@
     sends = [arrive(balancer, "GET") for _ in range(2)]
     call_id, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
     assert actions == []
-    first, then = balancer.abandon(sends[0].call_id, 0.1)
-    assert isinstance(first, Cancel)
-    assert isinstance(then, Send)
-    assert then.call_id == call_id
+    cancel, send = balancer.abandon(sends[0].call_id, 0.1)
+    assert isinstance(cancel, Cancel)
+    assert isinstance(send, Send)
+    assert send.call_id == call_id
 
 
 def test_shed_call_gets_a_short_retry_after() -> None:
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -110,7 +110,7 @@
     assert isinstance(end, Finish)
 
 
-def test_failed_answer_is_retried_only_where_it_may_repeat() -> None:
+def test_failed_answer_is_retried_only_if_idempotent() -> None:
     """A 500 is retried if the call is idempotent and else passed on.
 
     The endpoint may have recorded the loan before it failed.
@@ -209,7 +209,7 @@
     assert arrive(balancer, "GET", later).endpoint == bad
 
 
-def test_endpoint_without_probe_path_still_comes_back() -> None:
+def test_wrong_probe_path_does_not_exclude_an_endpoint() -> None:
     """A wrong probe path does not exclude an endpoint for ever.
 
     Every probe fails although the endpoint has recovered. After a longer
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -78,7 +78,7 @@
     assert budget.spend_retry()
 
 
-def test_first_tries_leave_retries_to_returning_callers() -> None:
+def test_scarce_retries_are_reserved_for_repeated_calls() -> None:
     """Scarce retries are reserved for callers that may not retry again.
 
     Every endpoint sheds half of its calls. A caller that is refused on its
@@ -91,8 +91,8 @@
     first = 0
     while budget.spend_retry(first_try=True):
         first += 1
-    returning = 0
+    repeated = 0
     while budget.spend_retry():
-        returning += 1
+        repeated += 1
     assert first == 2
-    assert returning == 2
+    assert repeated == 2
--- a/tests/test_choosers.py
+++ b/tests/test_choosers.py
@@ -145,13 +145,13 @@
     chooser, endpoints = build(4)
     for endpoint in endpoints[2:]:
         endpoint.local = False
-    near = {one.address for one in endpoints[:2]}
-    assert set(spread(chooser, 0.0)) == near
+    local = {one.address for one in endpoints[:2]}
+    assert set(spread(chooser, 0.0)) == local
     for endpoint in endpoints[:2]:
         chooser.record_load(endpoint, 6, 1.0)
     for endpoint in endpoints[2:]:
         chooser.record_load(endpoint, 1, 1.0)
-    assert not set(spread(chooser, 1.0)) & near
+    assert not set(spread(chooser, 1.0)) & local
 
 
 def test_large_pool_drops_draining_endpoints() -> None:
--- a/tests/test_controls.py
+++ b/tests/test_controls.py
@@ -54,7 +54,7 @@
     return 200, msgspec.json.decode(answer.data)
 
 
-def body(change_id: str, base: int) -> Any:
+def build_change(change_id: str, base: int) -> Any:
     """Build a change of the branch "lending"."""
     document = team(catalogo=[rule(deadline_ms=base + 1)])
     return {
@@ -67,20 +67,22 @@
 def change(cluster: Cluster, change_id: str, base: int) -> Any:
     """Resend a change until its outcome is known."""
 
-    def sent() -> Any:
+    def try_send() -> Any:
         leader = cluster.leader()
         if leader is None:
             return None
         try:
-            status, answer = post(leader, "/changes", body(change_id, base))
+            status, answer = post(
+                leader, "/changes", build_change(change_id, base)
+            )
         except HTTPError:
             return None
         return answer if status == 200 else None
 
-    return cluster.wait_for(f"the outcome of {change_id}", sent)
+    return cluster.wait_for(f"the outcome of {change_id}", try_send)
 
 
-def revision(cluster: Cluster) -> int:
+def read_revision(cluster: Cluster) -> int:
     """Read the branch's revision from the leader."""
     leader = cluster.wait_for("a leader", cluster.leader)
     tree = cluster.wait_for("a tree", lambda: cluster.fetch(leader, "/tree"))
@@ -100,7 +102,7 @@
     cluster.wait_for("in force", is_in_force)
 
 
-def replicas(cluster: Cluster) -> Any:
+def list_replicas(cluster: Cluster) -> Any:
     """Return the replicas as the leader lists them."""
     leader = cluster.wait_for("a leader", cluster.leader)
     return cluster.fetch(leader, "/replicas")
@@ -112,7 +114,7 @@
     A change that it answered and that the operator resends gets the same
     answer from the new leader.
     """
-    base = revision(cluster)
+    base = read_revision(cluster)
     first = change(cluster, "killed-1", base)
     assert first["outcome"] == "accepted"
     old = cluster.wait_for("a leader", cluster.leader)
@@ -131,7 +133,7 @@
     A majority syncs a change before it is answered, so after the restart
     the tree, the audit trail and the answer to a resend are complete.
     """
-    base = revision(cluster)
+    base = read_revision(cluster)
     answers = [
         change(cluster, f"all-{number}", base + number) for number in range(20)
     ]
@@ -140,7 +142,7 @@
     for process in cluster.controls:
         process.wait()
         process.restart()
-    assert revision(cluster) == base + 20
+    assert read_revision(cluster) == base + 20
     assert change(cluster, "all-19", base + 19) == answers[-1]
     leader = cluster.wait_for("a leader", cluster.leader)
     audit = cluster.fetch(leader, "/audit?limit=20") or []
@@ -155,10 +157,10 @@
 def test_a_suspended_leader_serves_no_outdated_tree(cluster: Cluster) -> None:
     """The leader is suspended, the others elect another, and it resumes.
 
-    For a moment it still takes itself for the leader. No entry may go back
+    For a moment it still considers itself the leader. No entry may go back
     to its older tree, and no change may be accepted twice.
     """
-    base = revision(cluster)
+    base = read_revision(cluster)
     index = change(cluster, "stopped-1", base)["index"]
     wait_in_force(cluster, index)
     old = cluster.wait_for("a leader", cluster.leader)
@@ -167,7 +169,9 @@
         others = [one for one in cluster.controls if one is not old]
         accepted = cluster.wait_for(
             "a change without the suspended leader",
-            lambda: first_accepted(others, body("stopped-2", base + 1)),
+            lambda: first_accepted(
+                others, build_change("stopped-2", base + 1)
+            ),
         )
     finally:
         old.signal(signal.SIGCONT)
@@ -177,7 +181,7 @@
         assert status is not None
         assert status["index"] >= accepted["index"]
     assert change(cluster, "stopped-2", base + 1) == accepted
-    assert revision(cluster) == base + 2
+    assert read_revision(cluster) == base + 2
 
 
 def first_accepted(processes: list[Process], request: Any) -> Any:
@@ -198,7 +202,7 @@
     That replica may lack the newest change. The entry must get no tree
     from it and refuse calls as "not-run" until a leader is confirmed.
     """
-    index = change(cluster, "entry-1", revision(cluster))["index"]
+    index = change(cluster, "entry-1", read_revision(cluster))["index"]
     wait_in_force(cluster, index)
     stopped = cluster.controls[1:]
     entry = cluster.entries[0]
@@ -234,7 +238,7 @@
     becomes a voter once it has caught up, and completes the majority when
     the next replica is killed.
     """
-    base = revision(cluster)
+    base = read_revision(cluster)
     before = change(cluster, "disk-1", base)
     leader = cluster.wait_for("a leader", cluster.leader)
     lost, other = [one for one in cluster.controls if one is not leader]
@@ -254,11 +258,11 @@
 
     cluster.wait_for("the replacement", replaced)
 
-    def votes() -> bool:
-        found = replicas(cluster)["replicas"]
+    def has_no_learner() -> bool:
+        found = list_replicas(cluster)["replicas"]
         return [one["kind"] for one in found].count("learner") == 0
 
-    cluster.wait_for("the vote", votes)
+    cluster.wait_for("the promotion", has_no_learner)
     assert identity_of(cluster, lost) != old
     other.signal(signal.SIGKILL)
     other.wait()
@@ -271,7 +275,7 @@
 
 def identity_of(cluster: Cluster, process: Process) -> Any:
     """Return a replica's identity as the leader lists it."""
-    for row in replicas(cluster)["replicas"]:
+    for row in list_replicas(cluster)["replicas"]:
         if row["name"] == process.name:
             return row["identity"]
     return None
@@ -315,7 +319,7 @@
     why, the others continue, and it catches up by itself once it can write
     again. Changes sent meanwhile are accepted at most once.
     """
-    base = revision(cluster)
+    base = read_revision(cluster)
     leader = cluster.wait_for("a leader", cluster.leader)
     log_bytes = (cluster.folder / f"{leader.name}.log").stat().st_size
     limit = log_bytes + 8_000
@@ -338,7 +342,7 @@
         resource.prlimit(
             leader.pid, resource.RLIMIT_FSIZE, (unlimited, unlimited)
         )
-    assert revision(cluster) == base + sent + 1
+    assert read_revision(cluster) == base + sent + 1
 
     def has_all_changes() -> bool:
         found = cluster.fetch(leader, "/tree") or {"revisions": {}}
@@ -366,7 +370,7 @@
         process.wait()
         process.restart()
         cluster.wait_for("a leader", cluster.leader)
-        assert post(process, "/changes", body("no", 0))[0] == 403
+        assert post(process, "/changes", build_change("no", 0))[0] == 403
         membership_request = {"action": "remove", "name": process.name}
         assert post(process, "/replicas", membership_request)[0] == 403
         wrong = POOL.request(
@@ -403,7 +407,7 @@
             )[0] in (200, 409)
 
         def caught_up() -> bool:
-            for row in replicas(cluster)["replicas"]:
+            for row in list_replicas(cluster)["replicas"]:
                 if row["name"] == new_replica.name:
                     return bool(row["match_index"])
             added()
@@ -427,7 +431,7 @@
         cluster.stop()
 
 
-def evacuated(cluster: Cluster, process: Process) -> Any:
+def list_evacuated(cluster: Cluster, process: Process) -> Any:
     """List the evacuated zones that a replica reports, None if silent."""
     found = cluster.fetch(process, "/evacuations")
     if found is None:
@@ -445,16 +449,18 @@
     for one in cluster.controls:
         cluster.wait_for(
             f"the order at {one.name}",
-            lambda c=one: evacuated(cluster, c) == ["b"],
+            lambda c=one: list_evacuated(cluster, c) == ["b"],
         )
     leader.kill()
     successor = cluster.wait_for("a leader", cluster.leader)
-    assert evacuated(cluster, successor) == ["b"]
+    assert list_evacuated(cluster, successor) == ["b"]
     leader.restart()
     back = {"availability_zone": "b", "evacuate": False}
     status, answer = post(successor, "/evacuations", back)
     assert (status, answer["outcome"]) == (200, "accepted")
-    cluster.wait_for("the order", lambda: evacuated(cluster, leader) == [])
+    cluster.wait_for(
+        "the order", lambda: list_evacuated(cluster, leader) == []
+    )
 
 
 def test_evacuation_of_an_invalid_zone_is_refused(cluster: Cluster) -> None:
@@ -463,4 +469,4 @@
     for zone in ("", "Hall A", "x" * 80):
         order = {"availability_zone": zone, "evacuate": True}
         assert post(leader, "/evacuations", order)[0] == 400
-    assert evacuated(cluster, leader) == []
+    assert list_evacuated(cluster, leader) == []
--- a/tests/test_crash_storms.py
+++ b/tests/test_crash_storms.py
@@ -28,7 +28,7 @@
     return fingerprint.startswith(BAD)
 
 
-def _names(prefix: str, kinds: int | None = None) -> Callable[[], str]:
+def _name_source(prefix: str, kinds: int | None = None) -> Callable[[], str]:
     """Return a source of request names, all different or ``kinds`` of them."""
     numbers = count()
 
@@ -39,17 +39,17 @@
     return name
 
 
-def _bad() -> str:
+def _bad_name() -> str:
     return BAD
 
 
-def _load(model: Model, until: float) -> None:
+def _schedule_load(model: Model, until: float) -> None:
     """Schedule background requests that all differ."""
     gap_s = 1 / (CALLS_PER_ENDPOINT * len(model.servers))
-    model.schedule_requests(gap_s, until, _names("own"))
+    model.schedule_requests(gap_s, until, _name_source("own"))
 
 
-def _innocent(model: Model) -> Counter[str]:
+def _harmless_outcomes(model: Model) -> Counter[str]:
     found: Counter[str] = Counter()
     for (fingerprint, outcome), times in model.outcomes.items():
         if not _is_bad(fingerprint):
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_crashing_request_at_every_entry(seed: int) -> None:
-    """Guard against entries that each count to three by themselves."""
+    """Guard against entries that each allow a request three crashes."""
     model = Model(17, 17, seed, _is_bad)
-    _load(model, 20.0)
-    model.schedule_requests(RETRY_S, 20.0, _bad)
+    _schedule_load(model, 20.0)
+    model.schedule_requests(RETRY_S, 20.0, _bad_name)
     model.run(24.0)
     assert model.count_late(BAD, PROPAGATION_S) <= MAX_LATE
     assert len(model.crashed_at[BAD]) <= MAX_CRASHES
@@ -71,10 +71,10 @@
 
 
 def test_crashing_request_among_hundreds_of_entries() -> None:
-    """Guard against entries that each count to three by themselves."""
+    """Guard against entries that each allow a request three crashes."""
     model = Model(312, 270, 1, _is_bad)
-    model.schedule_requests(0.01, 6.0, _names("own"))
-    model.schedule_requests(RETRY_S, 6.0, _bad)
+    model.schedule_requests(0.01, 6.0, _name_source("own"))
+    model.schedule_requests(RETRY_S, 6.0, _bad_name)
     model.run(9.0)
     assert model.count_late(BAD, PROPAGATION_S) <= MAX_LATE
     assert len(model.crashed_at[BAD]) <= MAX_CRASHES
@@ -84,8 +84,8 @@
 def test_many_crashing_requests(seed: int) -> None:
     """Guard against several crashing requests at the same time."""
     model = Model(17, 17, seed, _is_bad)
-    _load(model, 25.0)
-    model.schedule_requests(RETRY_S, 25.0, _names(BAD, 3))
+    _schedule_load(model, 25.0)
+    model.schedule_requests(RETRY_S, 25.0, _name_source(BAD, 3))
     model.run(30.0)
     for name in [f"{BAD}-{number}" for number in range(3)]:
         assert model.count_late(name, PROPAGATION_S) <= MAX_LATE
@@ -100,11 +100,11 @@
         model = Model(17, 17, seed, _is_bad)
         until = 20.0
         # Half of the endpoints' capacity, all of it with five lookups.
-        model.schedule_requests(0.004, until, _names("popular", LOOKUPS))
+        model.schedule_requests(0.004, until, _name_source("popular", LOOKUPS))
         if bad:
-            model.schedule_requests(RETRY_S, until, _bad)
+            model.schedule_requests(RETRY_S, until, _bad_name)
         model.run(until + 4.0)
-        seen[bad] = _innocent(model)
+        seen[bad] = _harmless_outcomes(model)
     total = sum(seen[True].values())
     assert seen[True]["answered"] >= 0.97 * total
     assert seen[False]["answered"] >= 0.99 * sum(seen[False].values())
@@ -122,13 +122,13 @@
     for detect_crashes in (True, False):
         model = Model(entries, 17, seed, _is_bad, detect_crashes)
         until = 30.0
-        model.schedule_requests(0.01, until, _names("popular", LOOKUPS))
+        model.schedule_requests(0.01, until, _name_source("popular", LOOKUPS))
         for at in (5.0, 12.0, 19.0):
             for server in model.servers:
                 model.schedule(at, partial(model.end_process, server))
         model.run(until + 4.0)
         in_time[detect_crashes] = model.in_time
-        answered[detect_crashes] = _innocent(model)["answered"]
+        answered[detect_crashes] = _harmless_outcomes(model)["answered"]
         assert model.quarantine.count == 0
     assert in_time[True] >= 0.995 * in_time[False]
     assert answered[True] >= 0.995 * answered[False]
@@ -141,7 +141,7 @@
     for detect_crashes in (True, False):
         model = Model(17, 17, seed, _is_bad, detect_crashes)
         until = 30.0
-        model.schedule_requests(0.008, until, _names("popular", LOOKUPS))
+        model.schedule_requests(0.008, until, _name_source("popular", LOOKUPS))
         for turn in range(25):
             for server in model.servers[:4]:
                 model.schedule(
@@ -149,7 +149,7 @@
                     partial(model.end_process, server, restart_s=0.5),
                 )
         model.run(until + 4.0)
-        answered[detect_crashes] = _innocent(model)["answered"]
+        answered[detect_crashes] = _harmless_outcomes(model)["answered"]
         assert model.quarantine.count == 0
     assert answered[True] >= 0.995 * answered[False]
 
@@ -158,8 +158,8 @@
 def test_entries_that_restart_after_the_quarantine(seed: int) -> None:
     """Guard against losing a quarantine when all entries restart."""
     model = Model(17, 17, seed, _is_bad)
-    _load(model, 20.0)
-    model.schedule_requests(RETRY_S, 20.0, _bad)
+    _schedule_load(model, 20.0)
+    model.schedule_requests(RETRY_S, 20.0, _bad_name)
     for entry in range(17):
         model.schedule(8.0 + entry * 0.1, partial(model.restart, entry))
     model.run(24.0)
@@ -174,32 +174,32 @@
     one quarantine applies to all.
     """
     model = Model(17, 17, seed, _is_bad)
-    _load(model, 30.0)
-    model.schedule_requests(RETRY_S, 30.0, _bad)
+    _schedule_load(model, 30.0)
+    model.schedule_requests(RETRY_S, 30.0, _bad_name)
     model.control = False
 
-    def back() -> None:
+    def restore_control() -> None:
         model.control = True
 
-    model.schedule(10.0, back)
+    model.schedule(10.0, restore_control)
     model.run(34.0)
     late = [
         at for at in model.crashed_at[BAD] if at > 10.0 + 2 * PROPAGATION_S
     ]
     assert len(late) <= MAX_LATE
-    assert _innocent(model)["answered"] > 0
+    assert _harmless_outcomes(model)["answered"] > 0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_service_with_one_endpoint(seed: int) -> None:
     """Guard against starving other requests of a single endpoint."""
     model = Model(5, 1, seed, _is_bad)
-    model.schedule_requests(0.25, 60.0, _names("own"))
-    model.schedule_requests(RETRY_S, 60.0, _bad)
+    model.schedule_requests(0.25, 60.0, _name_source("own"))
+    model.schedule_requests(RETRY_S, 60.0, _bad_name)
     model.run(64.0)
     assert model.count_late(BAD, PROPAGATION_S) <= MAX_LATE
     assert len(model.crashed_at[BAD]) <= 3 + 1
-    found = _innocent(model)
+    found = _harmless_outcomes(model)
     assert found["answered"] >= 0.6 * sum(found.values())
 
 
@@ -212,8 +212,8 @@
     """
     model = Model(17, 17, seed, _is_bad)
     until = 30.0
-    model.schedule_requests(0.01, until, _names("popular", LOOKUPS))
-    model.schedule_requests(RETRY_S, until, _bad)
+    model.schedule_requests(0.01, until, _name_source("popular", LOOKUPS))
+    model.schedule_requests(RETRY_S, until, _bad_name)
     for at in (2.0, 12.0):
         for server in model.servers:
             model.schedule(at, partial(model.end_process, server))
@@ -233,15 +233,15 @@
 def test_leader_changes_while_a_request_is_on_trial(seed: int) -> None:
     """Guard against a crash count that restarts with each leader."""
     model = Model(17, 17, seed, _is_bad)
-    _load(model, 25.0)
-    model.schedule_requests(RETRY_S, 25.0, _bad)
+    _schedule_load(model, 25.0)
+    model.schedule_requests(RETRY_S, 25.0, _bad_name)
 
-    def lead(leads: bool) -> None:
-        model.control = leads
+    def set_control(available: bool) -> None:
+        model.control = available
 
     for turn in range(12):
-        model.schedule(0.2 + turn * 0.9, partial(lead, False))
-        model.schedule(0.6 + turn * 0.9, partial(lead, True))
+        model.schedule(0.2 + turn * 0.9, partial(set_control, False))
+        model.schedule(0.6 + turn * 0.9, partial(set_control, True))
     model.run(29.0)
     assert model.count_late(BAD, PROPAGATION_S) <= MAX_LATE
 
@@ -250,8 +250,8 @@
 def test_crashing_request_of_a_split_route(seed: int) -> None:
     """Guard against separate crash counts for each service of a split."""
     model = Model(17, 24, seed, _is_bad, services=("old", "new", "next"))
-    _load(model, 20.0)
-    model.schedule_requests(RETRY_S, 20.0, _bad)
+    _schedule_load(model, 20.0)
+    model.schedule_requests(RETRY_S, 20.0, _bad_name)
     model.run(24.0)
     assert model.count_late(BAD, PROPAGATION_S) <= MAX_LATE
 
@@ -260,7 +260,7 @@
 def test_crashing_request_of_a_route_that_moves(seed: int) -> None:
     """Guard against a crash count that restarts when a route moves."""
     model = Model(17, 24, seed, _is_bad, services=("old", "new", "next"))
-    _load(model, 40.0)
+    _schedule_load(model, 40.0)
     for turn in range(400):
         at = turn * 0.1
         service = model.services[int(at / 5) % len(model.services)]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,8 +26,8 @@
 RESTART_S = 0.5
 HEARTBEAT_S = 0.4
 RETRY_S = 0.15
-# Retries that may still reach endpoints, and how long all routers may take to
-# learn that a request has crashed a third endpoint.
+# Retries that may still reach endpoints, and how long it may take until all
+# routers know that a request has crashed a third endpoint.
 MAX_RETRIES = 3
 PROPAGATION_S = 3.0
 # How long a caller continues after that.
@@ -114,7 +114,7 @@
         "virtualHosts": [{"hostname": HOST, "paths": [path]}],
     }
     try:
-        wait_for(lambda: _accepted(found, order), "configuration")
+        wait_for(lambda: _is_accepted(found, order), "configuration")
         yield found
     finally:
         found.stop()
@@ -125,7 +125,7 @@
     service = Service(site)
     try:
         for number in range(ROUTERS):
-            wait_for(partial(_served, site, number), f"router {number}")
+            wait_for(partial(_is_served, site, number), f"router {number}")
         tries = itertools.count()
         until = float("inf")
         while time.monotonic() < until:
@@ -137,7 +137,7 @@
         late_crashes = [at for at in service.crashes if at > late]
         assert len(late_crashes) <= MAX_RETRIES
         for number in range(ROUTERS):
-            wait_for(partial(_served, site, number), f"router {number}")
+            wait_for(partial(_is_served, site, number), f"router {number}")
     finally:
         service.stop()
 
@@ -146,12 +146,12 @@
     return f"q{next(REQUEST_NUMBERS)}"
 
 
-def _accepted(site: Site, order: Any) -> bool:
+def _is_accepted(site: Site, order: Any) -> bool:
     answer = site.post("/Config.Replace", order)
     return answer is not None and answer.status == 200
 
 
-def _served(site: Site, number: int) -> bool:
+def _is_served(site: Site, number: int) -> bool:
     answer = site.request("/look/well", _request_name(), number)
     return answer is not None and answer.status == 200
 
@@ -176,7 +176,7 @@
             record = self.folder / f"ran-{number}"
             self.cluster.add_upstream("prestamos", record=record)
         for entry in self.cluster.entries:
-            self.cluster.wait_for(entry.name, partial(self._knows_all, entry))
+            self.cluster.wait_for(entry.name, partial(self._lists_all, entry))
         self._thread.start()
 
     def stop(self) -> None:
@@ -196,7 +196,7 @@
                     found.append(float(at))
         return sorted(found)
 
-    def _knows_all(self, entry: Process) -> bool:
+    def _lists_all(self, entry: Process) -> bool:
         status = self.cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == ENDPOINTS
 
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -46,7 +46,7 @@
             for other in self.directories:
                 other.update(one.own_entry, dict(demand), self.now)
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """Let every caller look up entries once within KEEP_S."""
         for zone, kept in self._random.sample(self.callers, CALLERS):
             self.now += KEEP_S / CALLERS
@@ -87,7 +87,7 @@
     """
     simulation = Simulation(shares)
     for _ in range(ROUNDS):
-        simulation.round()
+        simulation.run_round()
     spread, local = simulation.spread()
     print(f"max/mean {spread:.2f}, in their own zone {local:.2f}")
     assert spread <= max_spread
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -90,7 +90,7 @@
             (CONTACT_TICK_S, self._check_contact),
         ):
             self._tasks.append(
-                asyncio.ensure_future(_every(period_s, function))
+                asyncio.ensure_future(_repeat(period_s, function))
             )
 
     def stop(self) -> None:
@@ -186,9 +186,9 @@
         self._cluster = cluster
         self._state = UP
         self._sequence = 0
-        self._place = number
+        self._replica_number = number
 
-    async def live(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats until the endpoint drains."""
         while self._state == UP:
             await self._announce()
@@ -214,7 +214,7 @@
             instance=self.name,
         )
         replicas = self._cluster.replicas
-        replica = replicas[self._place % len(replicas)]
+        replica = replicas[self._replica_number % len(replicas)]
         if not self._cluster.is_frozen(replica.address):
             acknowledging = replica.registrar.announce(
                 announcement, self._sequence
@@ -224,7 +224,7 @@
                 return True
             except (NotConfirmedError, TimeoutError):
                 pass
-        self._place += 1
+        self._replica_number += 1
         await asyncio.sleep(0.05)
         return False
 
@@ -237,24 +237,24 @@
     ) -> None:
         names = [f"zone-{number}" for number in range(zones)]
         self._cycle = itertools.cycle(names)
-        homes = {}
+        zone_by_host = {}
         self.members = []
         for number in range(replicas):
             address = f"10.1.0.{number + 1}:7000"
-            homes[address] = names[number % zones]
+            zone_by_host[address] = names[number % zones]
             self.members.append(
                 Member(
                     identity=address,
                     name=address,
                     grpc_address=address,
                     http_address=f"http-{address}",
-                    availability_zone=homes[address],
+                    availability_zone=zone_by_host[address],
                 )
             )
         self.seeds = [one.grpc_address for one in self.members[:3]]
         for number in range(entries):
-            homes[f"entry-{number}"] = names[number % zones]
-        self.network = Network(homes)
+            zone_by_host[f"entry-{number}"] = names[number % zones]
+        self.network = Network(zone_by_host)
         self._frozen: set[str] = set()
         self.replicas = [Replica(one.name, self) for one in self.members]
         self.entries = [
@@ -276,7 +276,7 @@
         for entry in self.entries:
             entry.watcher.start()
         for endpoint in self.endpoints:
-            task = asyncio.ensure_future(endpoint.live())
+            task = asyncio.ensure_future(endpoint.send_heartbeats())
             self._tasks.append(task)
         await asyncio.sleep(settle_s)
 
@@ -329,7 +329,7 @@
             assert entry.states().get(endpoint.name) != UP, entry.name
 
 
-async def _every(period_s: float, function: Any) -> None:
+async def _repeat(period_s: float, function: Any) -> None:
     while True:
         function()
         await asyncio.sleep(period_s)
@@ -360,12 +360,12 @@
     run_virtual(run())
 
 
-def small() -> Cluster:
+def build_small_cluster() -> Cluster:
     """Build five replicas, fifteen entries, ten endpoints in five zones."""
     return Cluster(zones=5, entries=15, replicas=5, endpoints=10)
 
 
-def test_entries_watch_the_replica_of_their_zone_and_know_all() -> None:
+def test_entries_get_all_endpoints_from_the_replica_of_their_zone() -> None:
     """Deliver every endpoint to every entry through one replica each."""
 
     async def scenario(cluster: Cluster) -> None:
@@ -388,7 +388,7 @@
             assert len(replica.registrar.resolve(None)) == 15
             assert replica.registrar.entry_count == 15
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 @pytest.mark.parametrize("place", range(5))
@@ -408,7 +408,7 @@
         assert endpoint.drained_at is not None
         cluster.check_drained(endpoint, cluster.entries)
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 @pytest.mark.parametrize("place", range(5))
@@ -440,7 +440,7 @@
             if other.drained_at is not None:
                 cluster.check_drained(other, cluster.entries)
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_entry_that_misses_its_reply_delays_no_drain() -> None:
@@ -463,7 +463,7 @@
         await cluster.replicas[1].registrar.announce(announcement, 10_000)
         cluster.check_drained(cluster.endpoints[1], cluster.entries[1:])
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_replica_cut_off_from_one_peer_does_not_acknowledge_alone() -> None:
@@ -488,7 +488,7 @@
         assert endpoint.drained_at is not None
         cluster.check_drained(endpoint, cluster.entries)
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_entries_leave_a_replica_that_is_cut_off() -> None:
@@ -500,16 +500,16 @@
 
     async def scenario(cluster: Cluster) -> None:
         await cluster.start(4.0)
-        alone = cluster.replicas[2]
+        isolated = cluster.replicas[2]
         for other in cluster.replicas:
-            if other is not alone:
-                cluster.network.cut(alone.address, other.address)
+            if other is not isolated:
+                cluster.network.cut(isolated.address, other.address)
         await asyncio.sleep(RECONNECT_S - BOUND_S)
         index = await cluster.change()
         await asyncio.sleep(BOUND_S)
         assert all(entry.index >= index for entry in cluster.entries)
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_entries_return_when_their_replica_is_back() -> None:
@@ -525,7 +525,7 @@
         await asyncio.sleep(4.0)
         assert set(replica.registrar.applied()) == before
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_callers_get_the_entries_of_a_zone_from_any_replica() -> None:
@@ -539,7 +539,7 @@
             if replica is not cluster.replicas[1]:
                 assert len(replica.registrar.resolve("zone-1")) == 3
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 @pytest.mark.parametrize("seed", [*range(12), 365])
@@ -592,7 +592,7 @@
             ups = {one: UP for one, state in known.items() if state == UP}
             assert ups == expected
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def _inject_fault(cluster: Cluster, random: Random) -> None:
@@ -619,10 +619,10 @@
         for entry in cluster.entries:
             assert entry.states() == expected
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
-def test_endpoints_are_referred_to_no_silent_replica() -> None:
+def test_endpoints_are_not_referred_to_a_silent_replica() -> None:
     """Refer endpoints to a replica of their zone only while it is reachable.
 
     A replaced replica is listed for some seconds more. Referred there by
@@ -642,7 +642,7 @@
         own = cluster.members[0]
         assert nearest(own.availability_zone) == own.http_address
 
-    run_scenario(small, scenario)
+    run_scenario(build_small_cluster, scenario)
 
 
 def test_hundreds_of_entries_cause_little_traffic() -> None:
@@ -652,7 +652,7 @@
     watched every replica, this would send about 41 MB between zones.
     """
 
-    def large() -> Cluster:
+    def build_large_cluster() -> Cluster:
         return Cluster(zones=5, entries=312, replicas=5, endpoints=270)
 
     async def scenario(cluster: Cluster) -> None:
@@ -660,7 +660,7 @@
         expected = {one.name: UP for one in cluster.endpoints}
         for entry in cluster.entries:
             assert entry.states() == expected
-        assert cluster.network.far_bytes < 4e6
+        assert cluster.network.cross_zone_bytes < 4e6
         # One exchange per entry every 0.8 s, plus those of the start.
         assert cluster.network.messages < 2 * 312 * (30 / 0.8 + 40)
         endpoint = cluster.endpoints[7]
@@ -670,4 +670,4 @@
         cluster.check_drained(endpoint, cluster.entries)
         assert cluster.network.messages - before < 312 * 6
 
-    run_scenario(large, scenario)
+    run_scenario(build_large_cluster, scenario)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -225,8 +225,8 @@
     assert set(choose_entries(entries, NEAR, 4, 0, [NEAR])) == far
     assert set(choose_entries(entries, FAR, 4, 0, [NEAR])) == far
     assert set(choose_entries(entries, NEAR, 9, 0, [NEAR, FAR])) == near
-    left = [
+    remaining = [
         *entries[:3],
         *[msgspec.structs.replace(one, draining=True) for one in entries[3:]],
     ]
-    assert set(choose_entries(left, NEAR, 4, 0, [NEAR])) == near
+    assert set(choose_entries(remaining, NEAR, 4, 0, [NEAR])) == near
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -24,7 +24,9 @@
         raise cherrypy.HTTPError(403, "ana may not change <lending>")
 
 
-def test_page_that_fails(capfd: pytest.CaptureFixture[str]) -> None:
+def test_refusals_are_shown_and_exceptions_logged(
+    capfd: pytest.CaptureFixture[str],
+) -> None:
     """The text of a refusal is shown, that of an exception is logged.
 
     An operator gets a refusal unchanged, as plain text. An unexpected
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -178,9 +178,9 @@
     live = [Announcement(SERVICE, one, ZONE, 3, 1) for one in LOCAL]
     balancer.update_upstreams(live, 0.0)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 0.0)
-    probe = queried(actions)
-    assert len(probe) == 1
-    balancer.record_probe(SERVICE, probe[0], 1, 0.001, 0.01, None)
+    found = queried(actions)
+    assert len(found) == 1
+    balancer.record_probe(SERVICE, found[0], 1, 0.001, 0.01, None)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 1.0)
     assert queried(actions) == []
     assert len(sent_to(actions)) == 1
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -128,7 +128,7 @@
 
 
 def test_next_call_requests_a_trial_if_the_first_ends() -> None:
-    """Guard against held calls for which nobody requests a trial."""
+    """Guard against held calls for which no trial is requested."""
     harness = Harness()
     harness.apply_state(1, SUSPECT)
     first, _ = harness.hold_call()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,7 +19,7 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def request_and(cancel: bool) -> Acknowledgement | None:
+async def interrupt_request(cancel: bool) -> Acknowledgement | None:
     """Send a request, then drop the channel or cancel the task."""
     address = free_address()
     server, client = Links(), Links()
@@ -54,13 +54,13 @@
     drops the channel, on which a request is held. If that ended the loop that
     sends requests, the two would not exchange registries after the partition.
     """
-    assert asyncio.run(request_and(cancel=False)) is None
+    assert asyncio.run(interrupt_request(cancel=False)) is None
 
 
 def test_cancelled_task_ends() -> None:
     """Raise CancelledError if the task itself is cancelled."""
     with pytest.raises(asyncio.CancelledError):
-        asyncio.run(request_and(cancel=True))
+        asyncio.run(interrupt_request(cancel=True))
 
 
 def test_channel_dropped_while_it_connects_is_not_open() -> None:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -219,7 +219,9 @@
     record = cluster.folder / "ran-3"
     upstream = cluster.add_upstream("prestamos", record=record)
     for entry in cluster.entries:
-        cluster.wait_for("it", lambda e=entry: lists_upstreams(cluster, e, 3))
+        cluster.wait_for(
+            "the upstream", lambda e=entry: lists_upstreams(cluster, e, 3)
+        )
     with ThreadPoolExecutor(CALLERS) as pool:
 
         def lookups() -> bool:
@@ -227,11 +229,11 @@
                 assert answer.status == 200
             return bool(record.read_text())
 
-        cluster.wait_for("its first call", lookups)
+        cluster.wait_for("the first call", lookups)
         POOL.request("GET", f"http://{upstream.address}/_drain")
         for entry in cluster.entries:
             cluster.wait_for(
-                "its drain", lambda e=entry: is_draining(cluster, e, upstream)
+                "the drain", lambda e=entry: is_draining(cluster, e, upstream)
             )
         before = record.read_text()
         for _ in range(ROUNDS):
@@ -240,7 +242,7 @@
     upstream.kill()
     for entry in cluster.entries:
         cluster.wait_for(
-            "its end", lambda e=entry: lists_upstreams(cluster, e, 2)
+            "the removal", lambda e=entry: lists_upstreams(cluster, e, 2)
         )
 
 
--- a/tests/test_pending_calls.py
+++ b/tests/test_pending_calls.py
@@ -15,7 +15,7 @@
     """Treat 0.0 s left as an expired deadline, not as no deadline.
 
     A call can use up its deadline while it waits for a worker. Mistaken for
-    a call without one, a purchase that nobody waits for is claimed and sent
+    a call without one, a purchase that no caller waits for is claimed and sent
     with the rule's deadline.
     """
     arrival = Arrival("catalog", "POST", "/purchases", caller_s, 1)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -15,7 +15,7 @@
         found.append(call_id)
 
 
-def test_background_yields_but_ages() -> None:
+def test_background_call_is_not_starved() -> None:
     """A background call is not starved under constant load.
 
     It yields to every lookup that arrives within its delay and goes before
--- a/tests/test_quorums.py
+++ b/tests/test_quorums.py
@@ -1,4 +1,4 @@
-"""Test that the logs show which replicas vote and why none leads."""
+"""Test that the logs show which replicas vote and why there is no leader."""
 
 from collections.abc import Iterator
 
--- a/tests/test_registries.py
+++ b/tests/test_registries.py
@@ -82,7 +82,7 @@
 
 
 def test_end_before_any_announcement_is_kept() -> None:
-    """Remember the end of an instance that announced itself elsewhere."""
+    """Keep the end of an instance that announced itself elsewhere."""
     registry = Registry(1)
     assert registry.end(("i1", 0), 0.0)
     catalog = Catalog()
@@ -276,7 +276,7 @@
         assert [one.endpoint for one in catalog.live()] == [A]
 
 
-def test_end_of_an_earlier_process_spares_the_later() -> None:
+def test_end_of_an_earlier_process_keeps_the_later() -> None:
     """Keep an instance whose earlier process ended at another replica."""
     catalog = Catalog()
     later = Registry(2)
@@ -291,7 +291,7 @@
 def test_end_of_a_later_process_ends_the_earlier_ones() -> None:
     """Use no process whose successor has already ended.
 
-    An entry that has just started learns the end of the later process from
+    An entry that has just started receives the end of the later process from
     one replica, and the earlier process, which crashed, from another.
     """
     catalog = Catalog()
@@ -336,7 +336,10 @@
 
 
 def test_incarnation_is_pruned_with_its_process() -> None:
-    """Keep no instance for ever: most starts create a new name."""
+    """Remove the incarnation of an expired instance after a while.
+
+    Most starts create a new name, so memory would grow without end.
+    """
     registry = Registry(1)
     registry.register(announcement("i1", incarnation=9), 1, 0.0)
     registry.expire(ENDPOINT_LEASE_S + 1.0)
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -87,7 +87,7 @@
 def check_recovered(cluster: SimulatedCluster, accepted: int) -> None:
     """Check that a leader with every accepted change is elected in time."""
     assert cluster.run_until(lambda: is_ready(cluster), RECOVERY_S), (
-        "none leads"
+        "no leader"
     )
     leader = cluster.leader()
     assert leader is not None
@@ -169,9 +169,9 @@
     follower = next(
         one for one in cluster.replicas.values() if one is not leader
     )
-    newcomer = cluster.add([follower.name])
+    new_replica = cluster.add([follower.name])
     assert cluster.run_until(
-        lambda: newcomer.name in member_names(cluster), CATCH_UP_S
+        lambda: new_replica.name in member_names(cluster), CATCH_UP_S
     )
 
 
@@ -180,21 +180,21 @@
     """A replica that was removed while it was down rejoins the group.
 
     Its own log still lists it as a voter, so it would wait for heartbeats
-    that nobody sends, and the group would have one replica too few when a
-    disk is lost later.
+    that no replica sends, and the group would have one replica too few when
+    a disk is lost later.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
     cluster.add(cluster.names)
     cluster.run(CATCH_UP_S)
-    away = cluster.replicas[cluster.names[seed % 3]]
-    away.kill()
+    removed = cluster.replicas[cluster.names[seed % 3]]
+    removed.kill()
     assert cluster.run_until(
-        lambda: away.name not in member_names(cluster), 20.0
+        lambda: removed.name not in member_names(cluster), 20.0
     )
-    away.start()
+    removed.start()
     assert cluster.run_until(
-        lambda: away.name in member_names(cluster), CATCH_UP_S
+        lambda: removed.name in member_names(cluster), CATCH_UP_S
     )
 
 
@@ -246,9 +246,9 @@
     assert leader.node is not None
     assert last.node is not None
     if leader is not last:
-        lead = leader.node.replica
+        leading = leader.node.replica
         own = last.node.replica.identity
-        last.receive(HandOver(lead.identity, own, lead.term))
+        last.receive(HandOver(leading.identity, own, leading.term))
         cluster.run(1.0)
     assert cluster.leader() is last
     lost = last.node.replica.identity
@@ -257,7 +257,7 @@
     cluster.run(VM_BACK_S)
     last.start()
 
-    def votes() -> bool:
+    def is_voter_again() -> bool:
         leader = cluster.leader()
         if leader is None or leader.node is None:
             return False
@@ -265,7 +265,7 @@
         member = membership.named(last.name)
         return member is not None and member.voter and member.identity != lost
 
-    assert cluster.run_until(votes, CATCH_UP_S)
+    assert cluster.run_until(is_voter_again, CATCH_UP_S)
 
 
 class FaultSequence:
@@ -288,7 +288,7 @@
             self.replace_lost,
             self.lose_disks,
             self.restart,
-            self.roll,
+            self.restart_in_turn,
             self.freeze,
             self.isolate,
             self.lose_disk_with_recent_changes,
@@ -362,7 +362,7 @@
                 replica.kill()
             replica.start()
 
-    def roll(self) -> None:
+    def restart_in_turn(self) -> None:
         """Restart all replicas in turn, without a pause."""
         for replica in self.present():
             replica.stop()
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -126,9 +126,9 @@
     assert leader is not None
     assert leader.node is not None
     term = leader.node.replica.term
-    away = next(one for one in cluster.names if one != leader.name)
+    isolated = next(one for one in cluster.names if one != leader.name)
     for other in cluster.names:
-        cluster.partitions |= {(away, other), (other, away)}
+        cluster.partitions |= {(isolated, other), (other, isolated)}
     cluster.run(10.0)
     cluster.partitions = set()
     cluster.run(5.0)
@@ -288,8 +288,8 @@
     return replica
 
 
-def match(replica: Replica, index: int) -> None:
-    """Send a reply of "r2" that its log matches up to an index."""
+def acknowledge(replica: Replica, index: int) -> None:
+    """Send a reply of "r2" whose log matches up to an index."""
     reply = AppendReply("r2", "r1", replica.term, 1, True, index)
     replica.receive(reply, 5.0)
 
@@ -301,9 +301,9 @@
     overwrite it. It is safe once a later entry of this term is replicated.
     """
     replica = elect([LogEntry(2, 1, NoOp())])
-    match(replica, 1)
+    acknowledge(replica, 1)
     assert replica.commit_index == 0
-    match(replica, 2)
+    acknowledge(replica, 2)
     assert replica.commit_index == 2
 
 
@@ -340,10 +340,10 @@
     replica.receive(VoteReply("r2", "r1", 4, True, False), 5.0)
     node.flush()
     long_polls = LongPolls()
-    for ticket in (1, 2):
+    for request_id in (1, 2):
         node.machine.entries.add("e")
         long_polls.enqueue(
-            ticket, FollowRequest("e", 0, hold=False), node, 5.0
+            request_id, FollowRequest("e", 0, hold=False), node, 5.0
         )
     replica.tick(5.5)
     node.flush()
@@ -351,7 +351,7 @@
     node.flush()
     assert replica.confirmed_round >= 2
     assert long_polls.advance(node, 5.5) == {}
-    match(replica, 3)
+    acknowledge(replica, 3)
     node.flush()
     answers = long_polls.advance(node, 5.5)
     assert {one.index for one in answers.values()} == {2}
@@ -377,7 +377,7 @@
     smaller = Reconfigure(MEMBERS.without("r3"), "ana", "")
     with pytest.raises(ReconfigurationError, match="under way"):
         replica.reconfigure(smaller, 5.0)
-    match(replica, 1)
+    acknowledge(replica, 1)
     two = MEMBERS.without("r3").without("r2")
     with pytest.raises(ReconfigurationError, match="one voter"):
         replica.reconfigure(Reconfigure(two, "ana", ""), 5.0)
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -223,7 +223,7 @@
     assert up_at(one, 0.3) == [A]
 
 
-def test_more_changes_than_are_kept(
+def test_whole_set_is_sent_to_a_peer_that_lags_too_far(
     pair: tuple[Roster, Roster],
 ) -> None:
     """Send the whole set when the peer lags too far."""
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -126,7 +126,7 @@
 
     An entry received its reply here and watches another replica from then
     on. Waiting until it is overdue would delay the acknowledgement of a
-    drain. An entry whose watch is held here has come back meanwhile.
+    drain. An entry whose watch is held here watches this replica again.
     """
     sessions = EntrySessions()
     sessions.record_request(entry("a"), received(4), 7, HOLD_S, 0.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,7 +23,7 @@
 DOCS = Path(__file__).parent.parent / "docs"
 RUN_S = 30
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "role": "entry",
     "name": "entry-1",
     "availability_zone": "surco",
@@ -44,7 +44,7 @@
 def write(folder: Path, **values: Any) -> Path:
     """Write a settings file."""
     path = folder / "settings.json"
-    path.write_bytes(msgspec.json.encode({**GOOD, **values}))
+    path.write_bytes(msgspec.json.encode({**VALID, **values}))
     return path
 
 
@@ -137,7 +137,7 @@
         assert kind == f"default {default}", name
 
 
-def test_names_carry_their_units() -> None:
+def test_setting_names_end_in_their_units() -> None:
     """The name of each numeric setting ends in its unit."""
     counts = {"http_threads", "entries_answer"}
     counts |= {"extra_ratio", "extra_fixed", "warm_up_overage"}
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("place", ["http_address", "grpc_address"])
-def test_address_in_use(tmp_path: Path, place: str) -> None:
+def test_address_in_use_is_refused(tmp_path: Path, place: str) -> None:
     """A daemon whose address is in use exits with an error.
 
     This happens when an operator starts a second daemon on a vm. One line
@@ -170,7 +170,7 @@
     assert "Traceback" not in err
 
 
-def test_unwritable_data_folder(tmp_path: Path) -> None:
+def test_unwritable_data_folder_is_refused(tmp_path: Path) -> None:
     """A replica whose data folder cannot be written does not start.
 
     A replica that cannot store its vote could vote twice in a term. Here the
@@ -196,7 +196,7 @@
     assert "Traceback" not in err
 
 
-def test_cpu_that_does_not_exist(tmp_path: Path) -> None:
+def test_unknown_cpu_is_refused(tmp_path: Path) -> None:
     """The daemon exits with a line that lists the vm's CPUs."""
     addresses = {
         "http_address": free_address(),
@@ -231,7 +231,7 @@
         process.communicate()
 
 
-def test_invalid_command_line() -> None:
+def test_invalid_command_line_prints_the_usage() -> None:
     """The daemon prints its usage and exits with status 2."""
     command = [sys.executable, "-m", "nutmegchute_daemon"]
     done = subprocess.run(command, capture_output=True, text=True)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -27,7 +27,7 @@
 SERVICE_MS = 50
 KEEP_S = 1.0
 DEADLINE_MS = 60000
-NOT_LISTENING = "nobody listens"
+NOT_LISTENING = "no listener"
 
 
 @pytest.fixture
@@ -87,9 +87,9 @@
 def test_stop_under_load_loses_no_call(build: Any) -> None:
     """Answer or refuse every call while an entry stops under load.
 
-    Callers use kept connections and refresh their list of entries when it
-    expires. No call may be cut off or lost, and the entry must end by itself
-    while the callers continue with the other one.
+    Callers use persistent connections and refresh their list of entries when
+    it expires. No call may be cut off or lost, and the entry must end by
+    itself while the callers continue with the other one.
     """
     cluster = build(entries=2)
     entry = cluster.entries[0]
@@ -97,7 +97,7 @@
     seeds = [one.address for one in cluster.entries]
     pool = urllib3.PoolManager(retries=False, timeout=20.0)
     for one in cluster.entries:
-        cluster.wait_for("it", lambda e=one: call(pool, e) == ANSWERED)
+        cluster.wait_for("an answer", lambda e=one: call(pool, e) == ANSWERED)
     entry_used = threading.Event()
 
     def keep_calling(number: int) -> set[str]:
--- a/tests/test_warmups.py
+++ b/tests/test_warmups.py
@@ -27,15 +27,15 @@
 from support import team
 
 SERVICE = "catalogo"
-PER_S = 6.1
+CALLS_PER_S = 6.1
 OVERAGE = 1.5
 SLACK = 8
-# Calls that an endpoint bears in any second: 17.15, rounded down.
+# Most calls that an endpoint may get in any second: 17.15, rounded down.
 BOUND = 17
 ZONES = ["az-1", "az-2", "az-3"]
 # Longest delay until a connected entry knows of another.
 MAX_DELAY_S = 2.0
-TRY_S = 0.02
+TRY_INTERVAL_S = 0.02
 WORK_S = 0.3
 
 
@@ -52,7 +52,7 @@
     )
 
 
-def names(count: int) -> dict[str, str]:
+def zones_by_entry(count: int) -> dict[str, str]:
     """Build a mapping of entry names to zones."""
     return {f"entry-{n}": ZONES[n % 3] for n in range(count)}
 
@@ -71,7 +71,7 @@
     def __init__(self, warm_ups: WarmUps, phase: float) -> None:
         self.warm_ups = warm_ups
         self.phase = phase
-        self._limit = WarmUpLimit(warm_ups, PER_S)
+        self._limit = WarmUpLimit(warm_ups, CALLS_PER_S)
         self._endpoint = Endpoint(endpoint(), True, None)
         self._endpoint.cold_until = 1e9
         self._ends: list[float] = []
@@ -103,11 +103,11 @@
 def run_entries(
     entries: list[GreedyEntry], begin: float, end: float
 ) -> list[float]:
-    """Let all entries try repeatedly; return the times of their sends."""
+    """Let all entries try to send repeatedly; return the times of sends."""
     sent = []
-    for turn in range(int((end - begin) / TRY_S)):
+    for turn in range(int((end - begin) / TRY_INTERVAL_S)):
         for entry in entries:
-            now = begin + turn * TRY_S + entry.phase
+            now = begin + turn * TRY_INTERVAL_S + entry.phase
             if entry.step(now):
                 sent.append(now)
     return sent
@@ -117,14 +117,16 @@
 def test_entries_together_keep_the_bound_and_use_it(count: int) -> None:
     """Guard against many entries whose small rates add up to too much."""
     random = Random(count)
-    zones = names(count)
+    zones = zones_by_entry(count)
     entries = [
-        GreedyEntry(build_warm_ups(one, zones, 0.0), random.random() * TRY_S)
+        GreedyEntry(
+            build_warm_ups(one, zones, 0.0), random.random() * TRY_INTERVAL_S
+        )
         for one in zones
     ]
     sent = run_entries(entries, SETTLE_S + 0.1, SETTLE_S + 5.1)
     assert max_per_second(sent) <= BOUND
-    assert len(sent) / 5.0 >= PER_S
+    assert len(sent) / 5.0 >= CALLS_PER_S
 
 
 @pytest.mark.parametrize("count", [17, 135, 312])
@@ -139,7 +141,7 @@
     restarts without any state.
     """
     random = Random(seed)
-    zones = names(count)
+    zones = zones_by_entry(count)
     first_zones = dict(list(zones.items())[: 2 * count // 3])
     entries = []
     updates: list[tuple[float, int, dict[str, str]]] = []
@@ -148,7 +150,8 @@
         first = first_zones if name in first_zones else zones
         entries.append(
             GreedyEntry(
-                build_warm_ups(name, first, comes_at), random.random() * TRY_S
+                build_warm_ups(name, first, comes_at),
+                random.random() * TRY_INTERVAL_S,
             )
         )
         if random.random() > 0.1:
@@ -168,19 +171,19 @@
                 )
                 continue
             name = list(zones)[number]
-            phase = random.random() * TRY_S
+            phase = random.random() * TRY_INTERVAL_S
             entries[number] = GreedyEntry(
                 build_warm_ups(name, zones, at), phase
             )
-        sent += run_entries(entries, now, now + TRY_S)
-        now += TRY_S
+        sent += run_entries(entries, now, now + TRY_INTERVAL_S)
+        now += TRY_INTERVAL_S
     assert sent
     assert max_per_second(sent) <= BOUND
 
 
 def test_new_entry_uses_no_cold_endpoint_at_first() -> None:
     """Guard against entries that start together and know only themselves."""
-    zones = names(3)
+    zones = zones_by_entry(3)
     entry = GreedyEntry(build_warm_ups("entry-0", zones, 10.0), 0.0)
     assert not entry.step(10.0)
     assert not entry.step(10.0 + SETTLE_S - 0.1)
@@ -191,13 +194,15 @@
     """Guard against groups that pile up with each change of entries."""
     warm_ups = WarmUps("entry-0")
     for second in range(100):
-        warm_ups.update_group(group_of(names(second % 7 + 1)), float(second))
+        warm_ups.update_group(
+            group_of(zones_by_entry(second % 7 + 1)), float(second)
+        )
     assert warm_ups.group_count <= SETTLE_S + 2
 
 
 def test_entries_of_the_endpoints_zone_go_first() -> None:
     """Guard against calls from other zones where local entries suffice."""
-    zones = names(135)
+    zones = zones_by_entry(135)
     members = [
         zone
         for name, zone in zones.items()
@@ -213,9 +218,11 @@
     """Build the balancer of the first of ``count`` entries."""
     built = Balancer(1, ZONES[0], name="entry-0")
     built.warm_ups.set_margin(OVERAGE, SLACK)
-    built.warm_ups.update_group(group_of(names(count)), 0.0)
+    built.warm_ups.update_group(group_of(zones_by_entry(count)), 0.0)
     document = team(**{SERVICE: [rule()]})
-    document["services"][SERVICE].update(warm_up_per_s=PER_S, warm_up_s=3.0)
+    document["services"][SERVICE].update(
+        warm_up_per_s=CALLS_PER_S, warm_up_s=3.0
+    )
     built.configure(read_services({"lending": document}), 0.0)
     return built
 
@@ -315,11 +322,11 @@
     """Guard against a group of only the first entries to connect."""
     discovery = Discovery("a:1", 1, 0.0)
     discovery.peers.update(["b:1"], 0.0)
-    for name, zone in names(5).items():
+    for name, zone in zones_by_entry(5).items():
         info = EntryInfo(name, f"{name}:1", zone)
         discovery.record_watch(WatchRequest(info, {}, 0, 0, 0.8), 0.1)
     assert discovery.group(0, 0.2) is None
     found = discovery.group(0, 2.0)
-    assert found == group_of(names(5))
+    assert found == group_of(zones_by_entry(5))
     assert discovery.group(found.digest, 2.1) is None
     assert EntryGroup().digest != found.digest
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -10,8 +10,8 @@
 import msgspec
 from nutmegchute_daemon.links import Method
 
-NEAR_S = 0.0002
-FAR_S = 0.0009
+SAME_ZONE_DELAY_S = 0.0002
+CROSS_ZONE_DELAY_S = 0.0009
 # Headers of an exchange, both ways: HTTP/2 frames, TCP and IP.
 OVERHEAD_BYTES = 400
 
@@ -60,7 +60,7 @@
         self._stopped: set[str] = set()
         self._changed = asyncio.Event()
         self.messages = 0
-        self.far_bytes = 0
+        self.cross_zone_bytes = 0
 
     def cut(self, one: str, other: str) -> None:
         """Delay all messages between two hosts until ``heal``."""
@@ -94,10 +94,12 @@
         while not self.is_open(source, target):
             await self._changed.wait()
         self.messages += 1
-        near = self._zones[source] == self._zones[target]
-        if not near:
-            self.far_bytes += len(data) + OVERHEAD_BYTES // 2
-        await asyncio.sleep(NEAR_S if near else FAR_S)
+        is_same_zone = self._zones[source] == self._zones[target]
+        if not is_same_zone:
+            self.cross_zone_bytes += len(data) + OVERHEAD_BYTES // 2
+        await asyncio.sleep(
+            SAME_ZONE_DELAY_S if is_same_zone else CROSS_ZONE_DELAY_S
+        )
 
     async def exchange(
         self, source: str, target: str, method: Method, request: Any
