--- a/packages/cli/nutmegchute_cli/changes.py
+++ b/packages/cli/nutmegchute_cli/changes.py
@@ -46,17 +46,17 @@
 
     @property
     def bases(self) -> dict[str, int]:
-        """Current revision of each branch to change."""
+        """Return the current revision of each branch to change."""
         return self._bases
 
     @property
     def changed(self) -> dict[str, Any]:
-        """New document of each branch to change, None to remove it."""
+        """Return the new document of each branch, None to remove it."""
         return self._changed
 
     @property
     def kept(self) -> list[str]:
-        """Branches without a file that stay unchanged."""
+        """Return the branches without a file that stay unchanged."""
         return [one for one in self._without_file if one not in self._changed]
 
     def differences(self, team: str) -> list[Difference]:
--- a/packages/cli/nutmegchute_cli/checks.py
+++ b/packages/cli/nutmegchute_cli/checks.py
@@ -32,12 +32,12 @@
 
     @property
     def rows(self) -> list[dict[str, Any]]:
-        """Findings in order, each a row of the output."""
+        """Return the findings in order, each a row of the output."""
         return self._rows
 
     @property
     def has_errors(self) -> bool:
-        """Whether any file has an error."""
+        """Return whether any file has an error."""
         return any(row["verdict"] == WRONG for row in self._rows)
 
     def add(self, path: object, verdict: str, detail: str | None) -> None:
--- a/packages/cli/nutmegchute_cli/clients.py
+++ b/packages/cli/nutmegchute_cli/clients.py
@@ -55,12 +55,12 @@
         raise self._unreachable()
 
     def get_from_leader(self, path: str) -> Any | None:
-        """Query the leader; None if there is none or it does not answer."""
+        """Query the leader; return None without a leader or an answer."""
         leader = self._find_leader()
         return None if leader is None else self._get(leader, path)
 
     def statuses(self) -> dict[str, Any]:
-        """Return each address with its replica's status, None if unanswered.
+        """Return the status of the replica at each address, None if silent.
 
         :raises UnreachableError: no replica answered
         """
@@ -148,7 +148,7 @@
 
     @property
     def address(self) -> str:
-        """HTTP address of the entry."""
+        """Return the HTTP address of the entry."""
         return self._address
 
     def get(self, path: str) -> Any:
@@ -165,7 +165,7 @@
         return answer
 
     def get_or_none(self, path: str) -> Any | None:
-        """Query the entry; None if it does not answer."""
+        """Query the entry; return None if it does not answer."""
         return _get(self._pool, self._address, path, self._headers)
 
     def post(self, path: str) -> Any:
--- a/packages/cli/nutmegchute_cli/differences.py
+++ b/packages/cli/nutmegchute_cli/differences.py
@@ -24,12 +24,12 @@
 
     @property
     def kind(self) -> str:
-        """Kind of the difference: ADDED, REMOVED or CHANGED."""
+        """Return the kind of the difference: ADDED, REMOVED or CHANGED."""
         return self._kind
 
     @property
     def place(self) -> str:
-        """Path of the place in the document."""
+        """Return the path of the place in the document."""
         return self._place
 
     def as_dict(self) -> dict[str, Any]:
--- a/packages/cli/nutmegchute_cli/explanations.py
+++ b/packages/cli/nutmegchute_cli/explanations.py
@@ -17,8 +17,8 @@
 CALL_ENDED = "NC3016"
 CONFIG_APPLIED = "NC3001"
 ENDPOINTS_CHANGED = "NC3014"
-# An endpoint crashed during a request, which was quarantined; a quarantine
-# was lifted.
+# An endpoint crashed during a request; a request was quarantined; its
+# quarantine was lifted.
 QUARANTINE_EVENTS = ("NC3021", "NC2021", "NC2022")
 # A log collector may prefix each line with a time and a name.
 _JSON_OBJECT = re.compile(r"\{.*\}")
@@ -36,14 +36,16 @@
 
 def explain(options: Options) -> int:
     """Print how a request was handled and which events led to it."""
-    name = options.text("REQUEST")
+    request_id = options.text("REQUEST")
     lines = []
     for path in options.texts("FILE"):
         lines.extend(read_lines(Path(path)))
     lines.sort(key=lambda line: str(line.get("timestamp", "")))
-    calls = [line for line in lines if line.get("request") == name]
+    calls = [line for line in lines if line.get("request") == request_id]
     if not calls:
-        raise UsageError(f"no line about request {name!r} in these files")
+        raise UsageError(
+            f"no line about request {request_id!r} in these files"
+        )
     found = [_explain_call(call, lines) for call in calls]
     if options.json:
         print_json(found)
--- a/packages/cli/nutmegchute_cli/listings.py
+++ b/packages/cli/nutmegchute_cli/listings.py
@@ -16,7 +16,7 @@
 
 
 def status(options: Options) -> int:
-    """List the control replicas; EXIT_UNKNOWN if none of them leads."""
+    """List the control replicas; return EXIT_UNKNOWN without a leader."""
     rows = []
     has_leader = False
     for address, found in options.control().statuses().items():
--- a/packages/cli/nutmegchute_cli/options.py
+++ b/packages/cli/nutmegchute_cli/options.py
@@ -26,22 +26,22 @@
 
     @property
     def json(self) -> bool:
-        """Whether to print JSON in place of tables."""
+        """Return whether to print JSON in place of tables."""
         return bool(self._arguments["--json"])
 
     @property
     def remove(self) -> bool:
-        """Whether to remove branches without a file."""
+        """Return whether to remove branches without a file."""
         return bool(self._arguments["--remove"])
 
     @property
     def wait_s(self) -> float:
-        """How long to wait for completion, in seconds."""
+        """Return how long to wait for completion, in seconds."""
         return self._number("--wait-s")
 
     @property
     def window_s(self) -> float:
-        """Length of a time window in a summary, in seconds.
+        """Return the length of a time window in a summary, in seconds.
 
         :raises UsageError: it is not positive
         """
@@ -52,17 +52,17 @@
 
     @property
     def limit(self) -> int:
-        """Maximum number of records to list; 0 lists all."""
+        """Return the maximum number of records to list; 0 lists all."""
         return int(self._number("--limit"))
 
     @property
     def key(self) -> str:
-        """The operator's key, empty if none is set."""
+        """Return the operator's key, empty if none is set."""
         return self._environment.get(KEY_VARIABLE, "")
 
     @property
     def has_entry(self) -> bool:
-        """Whether the address of an entry is given."""
+        """Return whether the address of an entry is given."""
         return bool(self._entry())
 
     def text(self, name: str) -> str:
--- a/packages/cli/nutmegchute_cli/summaries.py
+++ b/packages/cli/nutmegchute_cli/summaries.py
@@ -66,11 +66,11 @@
 
     @property
     def calls(self) -> int:
-        """Number of calls that ended."""
+        """Return the number of calls that ended."""
         return self.outcomes.total()
 
     def describe(self, start_s: float) -> dict[str, Any]:
-        """Return the window's row; ``start_s`` is when it begins."""
+        """Return the row of the window, which starts at ``start_s``."""
         waited = sum(one > WAIT_THRESHOLD_MS for one in self.waits_ms)
         reasons = self.reasons.most_common(MAX_REASONS)
         return {
@@ -115,25 +115,25 @@
 def split_into_windows(
     lines: list[Line], window_s: float
 ) -> list[tuple[float, Window]]:
-    """Return the start and the window of each time window with lines.
+    """Return the start and the counts of each time window with lines.
 
     The first window starts at the earliest line.
     """
     times_s = {}
-    for number, line in enumerate(lines):
+    for position, line in enumerate(lines):
         try:
             logged_at = datetime.fromisoformat(str(line.get("timestamp")))
         except ValueError:
             # A line without a time belongs to no window.
             continue
-        times_s[number] = logged_at.timestamp()
+        times_s[position] = logged_at.timestamp()
     if not times_s:
         return []
     first_s = min(times_s.values())
     windows: dict[int, Window] = {}
-    for number, time_s in times_s.items():
+    for position, time_s in times_s.items():
         index = int((time_s - first_s) / window_s)
-        windows.setdefault(index, Window()).add(lines[number])
+        windows.setdefault(index, Window()).add(lines[position])
     return [(index * window_s, windows[index]) for index in sorted(windows)]
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -31,7 +31,10 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> Run:
-    """Run a command as operator ana; return status, output and errors."""
+    """Return a function that runs a command as operator ana.
+
+    The function returns the exit status, the output and the errors.
+    """
     monkeypatch.setenv("NUTMEGCHUTE_CONTROL", control.address)
 
     def run_one(*words: str, key: str = "key-1") -> tuple[int, str, str]:
@@ -181,9 +184,9 @@
     """Derive the change id from the operator, too, to record both."""
     folder = declare(tmp_path, 100)
     run("apply", folder)
-    stale = Path(folder)
+    path = Path(folder)
     control.tree = type(control.tree)()
-    run("apply", str(stale), key="key-2")
+    run("apply", str(path), key="key-2")
     ids = [body["change_id"] for _, body in control.posts]
     assert ids[0] != ids[1]
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -34,7 +34,7 @@
         self._cluster = cluster
 
     def run(self, *arguments: str, entry: str = "") -> tuple[int, str]:
-        """Run a command; return its status and what it printed."""
+        """Run a command; return its exit status and output."""
         control = ",".join(one.address for one in self._cluster.controls)
         environment = {
             "NUTMEGCHUTE_CONTROL": control,
@@ -50,7 +50,7 @@
         return status, out.getvalue()
 
     def listing(self, *arguments: str, entry: str = "") -> Any:
-        """Run a listing and return what its JSON holds."""
+        """Run a command with --json and return the decoded output."""
         status, out = self.run(*arguments, "--json", entry=entry)
         assert status == 0, arguments
         return msgspec.json.decode(out)
@@ -117,9 +117,9 @@
     return {row["name"]: row["kind"] for row in operator.listing("replicas")}
 
 
-def _until(probe: Any) -> None:
+def _until(condition: Any) -> None:
     deadline = time.monotonic() + WAIT_S
-    while not probe():
+    while not condition():
         if time.monotonic() > deadline:
             raise subprocess.TimeoutExpired("probe", WAIT_S)
         time.sleep(0.1)
