--- a/packages/fakes/nutmegchute_fakes/__init__.py
+++ b/packages/fakes/nutmegchute_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake callers, upstreams and control replicas for tests and benchmarks."""
+"""Simulate callers, upstreams and replicas for tests and benchmarks."""
--- a/packages/fakes/nutmegchute_fakes/callers.py
+++ b/packages/fakes/nutmegchute_fakes/callers.py
@@ -1,4 +1,4 @@
-"""Fake caller that discovers entries, sends requests, checks answers."""
+"""Simulate a caller: discover entries, send requests, check answers."""
 
 import time
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class NoEntryError(Exception):
-    """Raised when no known entry answers."""
+    """Report that no known entry answers."""
 
 
 class CallResult:
--- a/packages/fakes/nutmegchute_fakes/clusters.py
+++ b/packages/fakes/nutmegchute_fakes/clusters.py
@@ -26,7 +26,7 @@
 
 
 class ClusterError(Exception):
-    """Raised when a condition is not met in time or no port is free."""
+    """Report that a condition was not met in time or no port was free."""
 
 
 class Process:
@@ -75,7 +75,7 @@
         return self._process.wait(timeout_s)
 
     def kill(self) -> None:
-        """Kill the process and reap it."""
+        """Kill the process and wait until it has exited."""
         if self.is_running:
             self._process.kill()
         self._process.wait()
@@ -188,19 +188,19 @@
                 return process
         return None
 
-    def wait_for(self, what: str, probe: Any) -> Any:
-        """Call ``probe`` until its result is true; return the result.
+    def wait_for(self, description: str, condition: Any) -> Any:
+        """Call ``condition`` until its result is true; return the result.
 
         :raises ClusterError: still false after READY_TIMEOUT_S
         """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
-            found = probe()
+            found = condition()
             if found:
                 return found
             time.sleep(0.05)
         raise ClusterError(
-            f"timed out after {READY_TIMEOUT_S} s waiting for {what}\n"
+            f"timed out after {READY_TIMEOUT_S} s waiting for {description}\n"
             f"{self._tail_logs()}"
         )
 
--- a/packages/fakes/nutmegchute_fakes/controls.py
+++ b/packages/fakes/nutmegchute_fakes/controls.py
@@ -1,4 +1,4 @@
-"""Fake control replica for tests of the command line."""
+"""Simulate a control replica for tests of the command line."""
 
 import threading
 from collections.abc import Callable
@@ -50,7 +50,7 @@
         self._thread.start()
 
     def change(self, operator: str, team: str, document: Any) -> Answer:
-        """Change a branch on the server itself, from its latest revision."""
+        """Change a branch directly in the tree, from its latest revision."""
         base = self.tree.revisions.get(team, 0)
         self._index += 1
         change = Change(
--- a/packages/fakes/nutmegchute_fakes/demo.py
+++ b/packages/fakes/nutmegchute_fakes/demo.py
@@ -143,12 +143,12 @@
                 future.result()
 
     def _send_request(self, caller: FakeCaller, number: int) -> None:
-        loan = number % LOAN_EVERY == 0
+        is_loan = number % LOAN_EVERY == 0
         service = "prestamos" if number % 2 else "catalogo"
-        method, path = ("POST", "/loans") if loan else ("GET", "/shelf")
-        body = b'{"book": "atlas"}' if loan else b""
+        method, path = ("POST", "/loans") if is_loan else ("GET", "/shelf")
+        body = b'{"book": "atlas"}' if is_loan else b""
         request_id = f"request-{number}"
-        headers = {"Idempotency-Key": request_id} if loan else {}
+        headers = {"Idempotency-Key": request_id} if is_loan else {}
         for _ in range(MAX_ATTEMPTS):
             call_result = caller.call(
                 request_id, service, method, path, body, headers
@@ -180,7 +180,7 @@
         document = build_declaration(deadline_ms)
         apply_declaration(self._folder, document, addresses, OPERATOR_KEY)
 
-    def _ran_twice(self) -> int:
+    def _count_ran_twice(self) -> int:
         ran: Counter[str] = Counter()
         for upstream in self._cluster.upstreams:
             for request_id in self._cluster.fetch(upstream, "/_ran") or []:
@@ -190,7 +190,7 @@
 
     def _check_outcomes(self) -> bool:
         counts = Counter(call_result.outcome for call_result in self._results)
-        ran_twice = self._ran_twice()
+        ran_twice = self._count_ran_twice()
         entry = self._cluster.entries[0]
         status = entry.wait()
         print(f"{entry.name} exited with status {status}")
--- a/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
+++ b/packages/fakes/nutmegchute_fakes/faulty_upstreams.py
@@ -1,4 +1,4 @@
-"""Fake upstreams that break the HTTP protocol in a chosen way."""
+"""Simulate upstreams that break the HTTP protocol in a chosen way."""
 
 import contextlib
 import socket
@@ -17,7 +17,7 @@
 class UpstreamConnection:
     """Read requests from one connection of an upstream and answer them."""
 
-    __slots__ = ("_buffer", "_upstream", "_socket")
+    __slots__ = ("_buffer", "_socket", "_upstream")
 
     def __init__(
         self, upstream: "FaultyUpstream", sock: socket.socket
@@ -103,8 +103,9 @@
         self._behaviour = behaviour
         self._requests: list[bytes] = []
         self._connections = 0
-        # Set when the peer, or when this side, has closed a connection.
+        # Set once the peer has closed a connection.
         self.peer_closed = threading.Event()
+        # Set once this side has closed a connection.
         self.connection_ended = threading.Event()
         self.release = threading.Event()
         self._listener = socket.create_server(
@@ -262,7 +263,7 @@
 
 
 def stop_answering(connection: UpstreamConnection) -> None:
-    """Answer until released; then read a request and send nothing."""
+    """Answer until the release; then read a request and send nothing."""
     while (request := connection.read()) is not None:
         if connection.upstream.release.is_set():
             connection.wait_for_close()
@@ -271,14 +272,14 @@
 
 
 def answer_late(connection: UpstreamConnection) -> None:
-    """Answer once released, when the entry no longer waits."""
+    """Answer after the release, when the entry no longer waits."""
     while (request := connection.read()) is not None:
         connection.upstream.release.wait()
         connection.write(build_answer(request.split(b" ")[1]))
 
 
 def trickle_head(connection: UpstreamConnection) -> None:
-    """Send a head one byte at a time that never ends."""
+    """Send an endless head one byte at a time."""
     connection.read()
     connection.write(OK + b"X-Slow: ")
     while not connection.upstream.release.wait(0.02):
--- a/packages/fakes/nutmegchute_fakes/proofs.py
+++ b/packages/fakes/nutmegchute_fakes/proofs.py
@@ -26,7 +26,7 @@
 
 
 class OutcomeCollector:
-    """Pytest plugin that collects the outcome of each test."""
+    """Collect the outcome of each test, as a pytest plugin."""
 
     def __init__(self) -> None:
         self._outcomes: dict[str, str] = {}
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -213,7 +213,10 @@
         self._guard(self._flush)
 
     def receive_introduction(
-        self, introduction: Introduction, source: "FakeReplica", refer: bool
+        self,
+        introduction: Introduction,
+        source: "FakeReplica",
+        follow_referral: bool,
     ) -> None:
         """Handle an introduction and reply with this replica's own."""
         if not self.up:
@@ -226,17 +229,17 @@
         self._cluster.send(
             self.name,
             source.name,
-            lambda: source.receive_introduction_reply(own, refer),
+            lambda: source.receive_introduction_reply(own, follow_referral),
         )
 
     def receive_introduction_reply(
-        self, introduction: Introduction, refer: bool
+        self, introduction: Introduction, follow_referral: bool
     ) -> None:
         """Handle the reply to an introduction."""
         if not self.up:
             return
         self._formation.record(introduction)
-        if refer:
+        if follow_referral:
             self._send_introduction(introduction.leader, False)
 
     def replace(self, name: str) -> None:
@@ -339,7 +342,7 @@
         if self.up:
             self._send_introduction(name, False)
 
-    def _send_introduction(self, name: str, refer: bool) -> None:
+    def _send_introduction(self, name: str, follow_referral: bool) -> None:
         if name in ("", self.name):
             return
         own = self._introduction()
@@ -347,7 +350,7 @@
         self._cluster.send(
             self.name,
             name,
-            lambda: other.receive_introduction(own, self, refer),
+            lambda: other.receive_introduction(own, self, follow_referral),
         )
 
     def _introduction(self) -> Introduction:
@@ -457,7 +460,7 @@
         self.index = 0
         self.lease = TreeLease(self._others)
         self.epoch = getattr(self, "epoch", 0) + 1
-        self._floor = self._cluster.in_force_index
+        self._min_index = self._cluster.in_force_index
 
     def _follow(self) -> None:
         self._cluster.after(FOLLOW_S, self._follow)
@@ -488,10 +491,10 @@
         self.lease.renew(sent_at)
         if reply.documents is None or reply.index <= self.index:
             return
-        if reply.index < self._floor:
+        if reply.index < self._min_index:
             raise OracleError(
-                f"{self.name} acts on {reply.index} after {self._floor} was "
-                "in force"
+                f"{self.name} acts on {reply.index} after "
+                f"{self._min_index} was in force"
             )
         self.index = reply.index
 
@@ -567,7 +570,7 @@
         return condition()
 
     def send(self, source: str, target: str, action: Any) -> None:
-        """Send over the network, which may lose or duplicate it."""
+        """Run an action at a target; the network may lose or duplicate it."""
         if (
             source,
             target,
--- a/packages/fakes/nutmegchute_fakes/soak.py
+++ b/packages/fakes/nutmegchute_fakes/soak.py
@@ -70,8 +70,9 @@
 SETTLE_S = 3.0
 MAX_SEED = 10**6
 # A request that crashes each upstream that runs it is sent at this interval.
-# After three crashes it may go on for QUARANTINE_DELAY_S, since control
-# replicas fail meanwhile, and cause MAX_LATE_CRASHES crashes after that.
+# After three crashes it may still reach upstreams for QUARANTINE_DELAY_S,
+# since control replicas fail meanwhile, and after that crash at most
+# MAX_LATE_CRASHES more.
 CRASH_INTERVAL_S = 0.4
 CRASH_PREFIX = "crash"
 CRASHES_TO_QUARANTINE = 3
@@ -211,30 +212,32 @@
         count = int(self._rate * (self._seconds + RECOVERY_S))
         with ThreadPoolExecutor(CALLERS) as pool:
             started = time.monotonic()
-            injecting = threading.Thread(target=injector.run, daemon=True)
-            injecting.start()
-            crashing = threading.Thread(
+            injector_thread = threading.Thread(
+                target=injector.run, daemon=True
+            )
+            injector_thread.start()
+            crash_thread = threading.Thread(
                 target=self._send_crashing_requests, daemon=True
             )
-            crashing.start()
+            crash_thread.start()
             self._evacuator = Evacuator(
                 [one.address for one in self._cluster.controls],
                 ZONES,
                 Random(self._seed),
             )
-            evacuating = threading.Thread(
+            evacuator_thread = threading.Thread(
                 target=self._evacuator.run, args=(self._seconds,), daemon=True
             )
-            evacuating.start()
+            evacuator_thread.start()
             callers = [self._build_caller(number) for number in range(CALLERS)]
             idle = list(callers)
             for number in range(count):
                 due = started + number / self._rate
                 time.sleep(max(0.0, due - time.monotonic()))
                 pool.submit(self._run_request, idle, number)
-            injecting.join()
-            crashing.join()
-            evacuating.join()
+            injector_thread.join()
+            crash_thread.join()
+            evacuator_thread.join()
         time.sleep(SETTLE_S)
 
     def _send_crashing_requests(self) -> None:
@@ -373,7 +376,7 @@
         for one in self._records:
             if one.name == name:
                 return " ".join(reported for _, reported in one.attempts)
-        return "never told"
+        return "no record"
 
 
 def find_late_crashes(crashes: list[float]) -> list[str]:
--- a/packages/fakes/nutmegchute_fakes/upstreams.py
+++ b/packages/fakes/nutmegchute_fakes/upstreams.py
@@ -122,7 +122,7 @@
         self._record.flush()
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Exceed the incarnation of an earlier run whose clock was ahead."""
+        """Exceed the incarnation of an earlier process with a faster clock."""
         self._incarnation = max(self._incarnation, incarnation + 1)
 
     def build_announcement(self) -> dict[str, Any]:
@@ -208,8 +208,8 @@
         except HTTPError:
             return False
         if answer.status == 409:
-            floor = msgspec.json.decode(answer.data)["incarnation"]
-            self._upstream.raise_incarnation(floor)
+            known_incarnation = msgspec.json.decode(answer.data)["incarnation"]
+            self._upstream.raise_incarnation(known_incarnation)
         return answer.status == 200
 
 
