--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -27,15 +27,15 @@
 POOL = urllib3.PoolManager(retries=False, timeout=5.0)
 
 
-def wait_for(condition: Callable[[], Any], text: str) -> Any:
+def wait_for(condition: Callable[[], Any], description: str) -> Any:
     """Wait until a condition holds, and return its value."""
-    end = time.monotonic() + WAIT_S
-    while time.monotonic() < end:
+    deadline = time.monotonic() + WAIT_S
+    while time.monotonic() < deadline:
         found = condition()
         if found:
             return found
         time.sleep(0.05)
-    raise AssertionError(f"not within {WAIT_S} s: {text}")
+    raise AssertionError(f"not within {WAIT_S} s: {description}")
 
 
 def send_request(
@@ -257,7 +257,7 @@
             process.wait()
 
     def resolve(self, number: int = 0) -> list[str]:
-        """Return the entries that a control replica gives to clients."""
+        """Return the addresses of entries that a control replica lists."""
         url = f"http://{self.controls[number]}:7003/resolve"
         answer = send_request(
             "GET", f"{url}?name={HOST}&region=lima&zone=surco"
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -508,12 +508,11 @@
 
 
 def test_drain_binds_while_an_entry_does_not_answer(site: Site) -> None:
-    """Acknowledge a drain while one entry is paused, and have it obey later.
+    """Acknowledge a drain while a router is paused; it obeys the drain later.
 
     A router is paused while its request to control is open. The heartbeat of
-    the draining endpoint is acknowledged once the router's contact has timed
-    out. When it resumes, the router learns of the drain before it sends any
-    call.
+    the draining endpoint is acknowledged once the router is out of contact.
+    When it resumes, the router learns of the drain before it sends any call.
     """
     leaving = Endpoint("i-1", "desk")
     staying = Endpoint("i-2", "desk")
