--- a/packages/fakes/nutmegchute_fakes/call_servers.py
+++ b/packages/fakes/nutmegchute_fakes/call_servers.py
@@ -19,7 +19,7 @@
 from nutmegchute_daemon.servers import HttpServer
 from nutmegchute_daemon.servers import LoopRunner
 
-from .clusters import free_address
+from .clusters import find_free_address
 
 SERVICE = "catalogo"
 SEED = 7
@@ -40,7 +40,7 @@
         deadline_ms: int = DEADLINE_MS,
         hedge: bool = False,
     ) -> None:
-        self.address = free_address()
+        self.address = find_free_address()
         self.outcomes: list[str] = []
         self._http = HttpServer(self.address, threads)
         self._http.limit_body(BODY_BYTES)
--- a/packages/fakes/nutmegchute_fakes/clusters.py
+++ b/packages/fakes/nutmegchute_fakes/clusters.py
@@ -114,12 +114,12 @@
             peers.append(
                 {
                     "name": f"control-{number}",
-                    "grpc_address": free_address(),
-                    "http_address": free_address(),
+                    "grpc_address": find_free_address(),
+                    "http_address": find_free_address(),
                 }
             )
         self.peers = peers
-        seeds = [free_address() for _ in range(entries)]
+        seeds = [find_free_address() for _ in range(entries)]
         for address in [*seeds, *(peer["grpc_address"] for peer in peers)]:
             self.grpc_ports.append(int(address.rpartition(":")[2]))
         for number, peer in enumerate(peers):
@@ -128,7 +128,7 @@
             own = {
                 "name": f"entry-{number + 1}",
                 "grpc_address": address,
-                "http_address": free_address(),
+                "http_address": find_free_address(),
             }
             document = self._build_settings("entry", number, own, peers)
             document["entries"] = seeds
@@ -142,15 +142,15 @@
         """Start a replica with an empty folder; return name and addresses."""
         own = {
             "name": name,
-            "grpc_address": free_address(),
-            "http_address": free_address(),
+            "grpc_address": find_free_address(),
+            "http_address": find_free_address(),
         }
         self._start_control(len(self.controls), own, [*self.peers, own])
         return own
 
     def add_upstream(self, service: str, **options: Any) -> Process:
         """Start a fake upstream; ``options`` are command-line options."""
-        address = free_address()
+        address = find_free_address()
         number = len(self.upstreams)
         command = [
             sys.executable,
@@ -264,7 +264,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def free_address() -> str:
+def find_free_address() -> str:
     """Return a loopback address with a free port.
 
     No port is returned twice in one process. The ports lie below the
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -7,7 +7,7 @@
 from nutmegchute_daemon.applications import open_pages
 from nutmegchute_daemon.events import configure_logs
 from nutmegchute_daemon.servers import HttpServer
-from nutmegchute_fakes.clusters import free_address
+from nutmegchute_fakes.clusters import find_free_address
 
 
 class BrokenPages:
@@ -34,7 +34,7 @@
     NC3006 with its trace, as nothing else would record the cause.
     """
     sink = configure_logs("info", "entry-1")
-    address = free_address()
+    address = find_free_address()
     server = HttpServer(address, 2)
     server.mount(open_pages(BrokenPages()))
     server.start()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 TIMEOUT_S = 10.0
 
 
-def free_address() -> str:
+def find_free_address() -> str:
     """Return an address on which nothing listens."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -21,7 +21,7 @@
 
 async def interrupt_request(cancel: bool) -> Acknowledgement | None:
     """Send a request, then drop the channel or cancel the task."""
-    address = free_address()
+    address = find_free_address()
     server, client = Links(), Links()
     received = asyncio.Event()
 
--- a/tests/test_senders.py
+++ b/tests/test_senders.py
@@ -19,7 +19,7 @@
 from nutmegchute_daemon.senders import Sender
 from nutmegchute_daemon.senders import TIMED_OUT
 from nutmegchute_fakes import faulty_upstreams
-from nutmegchute_fakes.clusters import free_address
+from nutmegchute_fakes.clusters import find_free_address
 from nutmegchute_fakes.faulty_upstreams import Behaviour
 from nutmegchute_fakes.faulty_upstreams import FaultyUpstream
 from urllib3 import HTTPHeaderDict
@@ -68,7 +68,7 @@
 
 def test_refused_connection_is_not_run() -> None:
     """Report "not run" if nothing listens at the address."""
-    assert EndpointClient(free_address()).send() == NOT_RUN
+    assert EndpointClient(find_free_address()).send() == NOT_RUN
 
 
 def test_connect_timeout_is_not_run() -> None:
@@ -156,7 +156,7 @@
     assert client.send() == LOST
     assert client.reply.loss == CLOSED
     assert not client.sender.refuses_connections(upstream.address)
-    assert client.sender.refuses_connections(free_address())
+    assert client.sender.refuses_connections(find_free_address())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,7 +8,7 @@
 from nutmegchute_daemon.servers import HttpServer
 from nutmegchute_daemon.servers import INITIAL_THREADS
 from nutmegchute_daemon.servers import STOP_TIMEOUT_S
-from nutmegchute_fakes.clusters import free_address
+from nutmegchute_fakes.clusters import find_free_address
 
 
 def test_incomplete_request_does_not_delay_a_stop(
@@ -20,7 +20,7 @@
     library's five seconds for its worker, the process would exceed the time
     that its vm allows for a stop and be killed.
     """
-    server = HttpServer(free_address(), 2)
+    server = HttpServer(find_free_address(), 2)
     server.start()
     stop_workers = server._server.requests.stop
     timeouts: list[float] = []
@@ -37,7 +37,7 @@
     adds more as connections arrive.
     """
     max_threads = 3 * INITIAL_THREADS
-    server = HttpServer(free_address(), max_threads)
+    server = HttpServer(find_free_address(), max_threads)
     all_connected = threading.Barrier(max_threads + 1, timeout=10.0)
 
     def wait(http: StrictRequest) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from nutmegchute_daemon.settings import DEFAULTS
 from nutmegchute_daemon.settings import read_settings
 from nutmegchute_fakes.clusters import digest
-from nutmegchute_fakes.clusters import free_address
+from nutmegchute_fakes.clusters import find_free_address
 from returns.result import Failure
 from returns.result import Success
 
@@ -156,8 +156,8 @@
     names the setting, and exit status 2 says that nothing was started.
     """
     addresses = {
-        "http_address": free_address(),
-        "grpc_address": free_address(),
+        "http_address": find_free_address(),
+        "grpc_address": find_free_address(),
     }
     host, port = addresses[place].split(":")
     with socket.create_server((host, int(port))):
@@ -179,8 +179,8 @@
     (tmp_path / "data").write_text("not a folder")
     own = {
         "name": "control-1",
-        "http_address": free_address(),
-        "grpc_address": free_address(),
+        "http_address": find_free_address(),
+        "grpc_address": find_free_address(),
     }
     path = write(
         tmp_path,
@@ -199,8 +199,8 @@
 def test_unknown_cpu_is_refused(tmp_path: Path) -> None:
     """The daemon exits with a line that lists the vm's CPUs."""
     addresses = {
-        "http_address": free_address(),
-        "grpc_address": free_address(),
+        "http_address": find_free_address(),
+        "grpc_address": find_free_address(),
     }
     path = write(tmp_path, cpus=[99999], **addresses)
     process = start(path)
@@ -214,8 +214,8 @@
     """Every thread is restricted to the CPUs in the settings."""
     cpu = min(os.sched_getaffinity(0))
     addresses = {
-        "http_address": free_address(),
-        "grpc_address": free_address(),
+        "http_address": find_free_address(),
+        "grpc_address": find_free_address(),
     }
     process = start(write(tmp_path, cpus=[cpu], **addresses))
     try:
@@ -248,7 +248,7 @@
     team. A key for all branches stops the daemon with status 0, as SIGTERM
     does.
     """
-    address = free_address()
+    address = find_free_address()
     operators = [
         {"name": "ana", "key_sha256": digest("all"), "branches": ["*"]},
         {"name": "bo", "key_sha256": digest("one"), "branches": ["lending"]},
@@ -256,7 +256,7 @@
     path = write(
         tmp_path,
         http_address=address,
-        grpc_address=free_address(),
+        grpc_address=find_free_address(),
         operators=operators,
         entries_keep_s=0.2,
     )
