--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -95,14 +95,14 @@
 def test_lookup_without_another_endpoint_ends_at_once(
     outcome: str, end: type[Action]
 ) -> None:
-    """A call that failed at the only endpoint left ends at once.
+    """A call that failed at the only usable endpoint ends at once.
 
     The other endpoint is draining, so a retry could only wait in the queue
     until the deadline.
     """
     balancer = build("a:1", "b:1")
-    leaving = announcement("b:1", state=DRAINING)
-    balancer.update_upstreams([announcement("a:1"), leaving], 0.0)
+    draining = announcement("b:1", state=DRAINING)
+    balancer.update_upstreams([announcement("a:1"), draining], 0.0)
     send = arrive(balancer, "GET")
     result = Result(send.call_id, send.attempt, outcome, 0.001)
     actions = balancer.finish(result, 0.001)
@@ -113,8 +113,8 @@
 def test_draining_endpoint_gets_nothing() -> None:
     """A call waits and is then refused if the only endpoint drains."""
     balancer = build("a:1")
-    leaving = announcement("a:1", state=DRAINING)
-    balancer.update_upstreams([leaving], 0.0)
+    draining = announcement("a:1", state=DRAINING)
+    balancer.update_upstreams([draining], 0.0)
     _, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
     assert actions == []
     assert isinstance(balancer.tick(10.0)[0], Refuse)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -426,7 +426,7 @@
 
     The worker thread waits for the first attempt while a hedging thread runs
     the second. Whichever is first, the caller gets its answer at once and
-    the other upstream sees its connection close.
+    the connection to the other upstream is closed.
     """
     behaviours = [faulty_upstreams.answer, faulty_upstreams.answer]
     behaviours[slow] = faulty_upstreams.never_answer
--- a/tests/test_charts.py
+++ b/tests/test_charts.py
@@ -44,13 +44,13 @@
 
 def test_charts_and_code_use_the_same_events() -> None:
     """The code uses all events of the charts, and no others."""
-    drawn: set[str] = set()
+    chart_events: set[str] = set()
     for name in NAMES:
         for events in load_chart(name).states.values():
-            drawn.update(events)
-    stepped, strings = _events_in_code()
-    assert stepped <= drawn
-    assert drawn <= strings
+            chart_events.update(events)
+    code_events, strings = _events_in_code()
+    assert code_events <= chart_events
+    assert chart_events <= strings
 
 
 def test_page_is_up_to_date() -> None:
@@ -60,7 +60,7 @@
 
 def _events_in_code() -> tuple[set[str], set[str]]:
     """Return the literal events passed to ``step``, and all strings."""
-    stepped: set[str] = set()
+    code_events: set[str] = set()
     strings: set[str] = set()
     for path in Path(nutmegchute_core.__file__).parent.glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -75,5 +75,5 @@
                 continue
             last = node.args[-1]
             if isinstance(last, ast.Constant):
-                stepped.add(str(last.value))
-    return stepped, strings
+                code_events.add(str(last.value))
+    return code_events, strings
--- a/tests/test_choosers.py
+++ b/tests/test_choosers.py
@@ -157,7 +157,7 @@
 def test_large_pool_drops_draining_endpoints() -> None:
     """Guard against a draining endpoint that still reports its load."""
     chooser, endpoints = build(100)
-    leaving = endpoints[-1]
+    draining = endpoints[-1]
     chooser.update(endpoints[:-1])
-    chooser.record_load(leaving, 0, 1.0)
-    assert leaving.address not in spread(chooser, 1.0)
+    chooser.record_load(draining, 0, 1.0)
+    assert draining.address not in spread(chooser, 1.0)
--- a/tests/test_controls.py
+++ b/tests/test_controls.py
@@ -418,10 +418,10 @@
         replaced.signal(signal.SIGTERM)
         assert replaced.wait() == 0
         answer = change(cluster, "after", 1)
-        left = [one for one in cluster.controls if one is not replaced]
-        for process in left:
+        remaining = [one for one in cluster.controls if one is not replaced]
+        for process in remaining:
             process.kill()
-        lost, *others = left
+        lost, *others = remaining
         shutil.rmtree(tmp_path / lost.name)
         for process in others:
             process.restart()
--- a/tests/test_crash_storms.py
+++ b/tests/test_crash_storms.py
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_neighbours_of_a_crashing_request_are_answered(seed: int) -> None:
     """Guard against refusing requests that ran beside a crashing one."""
-    seen = {}
+    outcomes = {}
     for bad in (True, False):
         model = Model(17, 17, seed, _is_bad)
         until = 20.0
@@ -104,10 +104,10 @@
         if bad:
             model.schedule_requests(RETRY_S, until, _bad_name)
         model.run(until + 4.0)
-        seen[bad] = _harmless_outcomes(model)
-    total = sum(seen[True].values())
-    assert seen[True]["answered"] >= 0.97 * total
-    assert seen[False]["answered"] >= 0.99 * sum(seen[False].values())
+        outcomes[bad] = _harmless_outcomes(model)
+    total = sum(outcomes[True].values())
+    assert outcomes[True]["answered"] >= 0.97 * total
+    assert outcomes[False]["answered"] >= 0.99 * sum(outcomes[False].values())
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -170,8 +170,8 @@
 def test_crashing_request_while_control_is_unavailable(seed: int) -> None:
     """Guard against endless crashes while control is unavailable.
 
-    Each entry then decides by the crashes that it saw; once control is back,
-    one quarantine applies to all.
+    Each entry then decides by the crashes that it detected; once control is
+    back, one quarantine applies to all.
     """
     model = Model(17, 17, seed, _is_bad)
     _schedule_load(model, 30.0)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -221,12 +221,14 @@
             name = f"{CRASHING}-{number}"
             url = f"http://{entry}/call/prestamos{CRASH_PATH}"
             send_request("GET", url, X_Request_Id=name)
-            seen = crashing.crashes()
-            if until == float("inf") and len(seen) >= 3:
+            crashed_at = crashing.crashes()
+            if until == float("inf") and len(crashed_at) >= 3:
                 until = time.time() + PROPAGATION_S + EXTRA_S
             time.sleep(RETRY_S)
-        seen = crashing.crashes()
-        late_crashes = [at for at in seen if at > seen[2] + PROPAGATION_S]
+        crashed_at = crashing.crashes()
+        late_crashes = [
+            at for at in crashed_at if at > crashed_at[2] + PROPAGATION_S
+        ]
         assert len(late_crashes) <= MAX_RETRIES
         for one in entries:
             url = f"http://{one.address}/call/prestamos/shelf"
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -29,7 +29,7 @@
         replica.kill()
     for replica in cluster.replicas.values():
         replica.start()
-    seen = set()
+    states = set()
     for _ in range(8000):
         cluster.run(STEP_S)
         for replica in cluster.replicas.values():
@@ -37,7 +37,7 @@
             if node is None:
                 continue
             state = describe_state(node.replica)
-            seen.add(state)
+            states.add(state)
             if state == LEADER:
                 assert node.machine.tree.index == index
-    assert {LEADER, TAKING_OVER} <= seen
+    assert {LEADER, TAKING_OVER} <= states
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -467,7 +467,7 @@
 
 
 def test_replica_cut_off_from_one_peer_does_not_acknowledge_alone() -> None:
-    """Leave a drain to replicas that reach all others.
+    """Acknowledge a drain only at replicas that reach all others.
 
     Two replicas do not reach each other; both reach the rest and their
     entries. Neither may ignore the other, which still has entries.
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -108,9 +108,9 @@
 
 
 def _parses(command: str) -> bool:
-    words = shlex.split(command)[1:]
+    arguments = shlex.split(command)[1:]
     try:
-        docopt(cli.__doc__, words, default_help=False)
+        docopt(cli.__doc__, arguments, default_help=False)
     except DocoptExit:
         return False
     return True
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -107,19 +107,19 @@
     """Query the zone's endpoints, then others, then hold the call."""
     balancer = build()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
-    seen: list[str] = []
+    already_queried: list[str] = []
     now = 5.0
     while queried(actions):
         found = queried(actions)
-        assert not set(found) & set(seen)
-        seen += found
+        assert not set(found) & set(already_queried)
+        already_queried += found
         for address in found:
             now += 0.0005
             actions = balancer.record_probe(
                 SERVICE, address, 0, 0.001, now, 5.0
             )
-    assert set(seen[:5]) == set(LOCAL)
-    assert set(seen[5:]) == set(REMOTE)
+    assert set(already_queried[:5]) == set(LOCAL)
+    assert set(already_queried[5:]) == set(REMOTE)
     assert sent_to(actions) == []
 
 
@@ -463,8 +463,8 @@
     """Send the call after an answer without a load, and stop queries.
 
     Endpoints of a service answer at the health path without a load. Counted
-    as a failure, the answer would keep calls away, and each call would wait
-    while it queries one endpoint after the other.
+    as a failure, the answer would exclude the endpoint, and each call would
+    wait while it queries one endpoint after the other.
     """
     balancer = build_without_load()
     _, actions = arrive_without_load(balancer, 0.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -67,11 +67,11 @@
     """Return False if another exchange drops the connecting channel."""
 
     async def open_and_drop() -> bool:
-        with socket.socket() as silent:
+        with socket.socket() as listener:
             # It never accepts, so no channel to it becomes ready.
-            silent.bind(("127.0.0.1", 0))
-            silent.listen()
-            address = f"127.0.0.1:{silent.getsockname()[1]}"
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            address = f"127.0.0.1:{listener.getsockname()[1]}"
             client = Links()
             opening = asyncio.ensure_future(client.open(address, TIMEOUT_S))
             await asyncio.sleep(0.1)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -122,7 +122,7 @@
     assert count_runs(cluster.folder, "impatient") == 1
 
 
-def test_killed_entry_leaves_unknown(cluster: Cluster) -> None:
+def test_loan_of_a_killed_entry_is_unknown(cluster: Cluster) -> None:
     """Run a loan once if its entry is killed while it runs.
 
     The caller's connection breaks. Another entry finds the key claimed but
@@ -144,7 +144,7 @@
     cluster.wait_for("the entry", lambda: lists_upstreams(cluster, entry, 2))
 
 
-def test_without_control_lookups_go_on(cluster: Cluster) -> None:
+def test_lookups_continue_without_control(cluster: Cluster) -> None:
     """Refuse only calls that need the ledger while control is down.
 
     A keyed loan that is not claimed must not be sent. It is refused as "not
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -325,7 +325,7 @@
 def test_new_leader_answers_reads_once_its_term_commits() -> None:
     """A new leader does not know yet that an entry in its log is committed.
 
-    Its predecessor reported the change as in force and died. A quorum
+    Its predecessor reported the change as in force and failed. A quorum
     confirms the new leader, but its state machine still lacks the change:
     an answer now would give a restarted entry the older tree.
     """
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -75,7 +75,7 @@
     An endpoint announces itself to one entry, moves to another and drains
     there. The first entry still holds its lease, and a copy of its first
     announcement arrives late. Accepted, it would direct new calls to an
-    upstream that is leaving.
+    upstream that is about to stop.
     """
     one, other = pair
     one.announce(announcement(A), 0.1)
@@ -102,7 +102,7 @@
 def test_delayed_message_restores_nothing(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Ignore a message delayed until its endpoint has left.
+    """Ignore a message delayed until its endpoint has stopped.
 
     The message says "up"; the lease expires, a later message removes the
     endpoint, then the first arrives again. It acknowledges an older sequence
@@ -137,7 +137,7 @@
     """Stop using the set of a partitioned entry.
 
     Without messages an entry cannot know whether the other's endpoints have
-    drained. Calls would be sent to an upstream that has left.
+    drained. Calls would be sent to an upstream that has stopped.
     """
     one, other = pair
     other.announce(announcement(A), 0.1)
@@ -147,10 +147,10 @@
     assert up_at(one, GOSSIP_LEASE_S + 0.2) == []
 
 
-def test_endpoint_of_a_dead_entry_moves_to_another(
+def test_endpoint_of_a_failed_entry_moves_to_another(
     pair: tuple[Roster, Roster],
 ) -> None:
-    """Keep an endpoint that announces to another when its entry dies."""
+    """Keep an endpoint that announces to another when its entry fails."""
     one, other = pair
     other.announce(announcement(A), 0.1)
     exchange(one, other, 0.1)
@@ -199,7 +199,7 @@
     """Refuse announcements that may have been queued during a pause.
 
     The process is suspended while its socket holds an "up"; the endpoint
-    drains at another entry and leaves. Resumed, the entry would renew its
+    drains at another entry and stops. Resumed, the entry would renew its
     lease.
     """
     members = Roster(1)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -122,7 +122,7 @@
 
 
 def test_entry_that_moved_is_not_waited_for() -> None:
-    """Leave an entry to the replica that it watches now.
+    """Do not wait for an entry that watches another replica now.
 
     An entry received its reply here and watches another replica from then
     on. Waiting until it is overdue would delay the acknowledgement of a
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -117,9 +117,9 @@
         runs = [threads.submit(keep_calling, n) for n in range(CALLERS)]
         assert entry_used.wait(20.0)
         entry.signal(signal.SIGTERM)
-        seen = set().union(*[run.result() for run in runs])
-    assert seen <= {ANSWERED, REFUSED}
-    assert ANSWERED in seen
+        all_outcomes = set().union(*[run.result() for run in runs])
+    assert all_outcomes <= {ANSWERED, REFUSED}
+    assert ANSWERED in all_outcomes
     assert entry.wait() == 0
 
 
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -260,7 +260,7 @@
     assert operations > 40
 
 
-def test_failed_save_leaves_nothing_behind() -> None:
+def test_bytes_of_a_failed_save_are_removed() -> None:
     """A save fails half way on a full disk; after recovery, saves continue.
 
     The bytes already written look like an incomplete frame. If they were
