--- a/packages/cli/nutmegchute_cli/changes.py
+++ b/packages/cli/nutmegchute_cli/changes.py
@@ -105,7 +105,7 @@
 
 def _print_plan(planned: Plan, as_json: bool) -> None:
     if as_json:
-        print_json(_plan_document(planned))
+        print_json(_build_plan_document(planned))
         return
     if not planned.changed:
         print("nothing to change")
@@ -119,7 +119,7 @@
         print(f"{team}: no file here, unchanged (--remove removes it)")
 
 
-def _plan_document(planned: Plan) -> dict[str, Any]:
+def _build_plan_document(planned: Plan) -> dict[str, Any]:
     changes = {}
     for team in planned.changed:
         changes[team] = {
--- a/packages/cli/nutmegchute_cli/clients.py
+++ b/packages/cli/nutmegchute_cli/clients.py
@@ -35,8 +35,8 @@
 
     def __init__(self, addresses: list[str], key: str) -> None:
         self._addresses = addresses
-        self._headers = _headers(key)
-        self._pool = _pool()
+        self._headers = _build_headers(key)
+        self._pool = _build_pool()
 
     def get(self, path: str) -> Any:
         """Query the leader or, without one, any replica that answers.
@@ -143,8 +143,8 @@
 
     def __init__(self, address: str, key: str) -> None:
         self._address = address
-        self._headers = _headers(key)
-        self._pool = _pool()
+        self._headers = _build_headers(key)
+        self._pool = _build_pool()
 
     @property
     def address(self) -> str:
@@ -188,11 +188,11 @@
         return msgspec.json.decode(answer.data)
 
 
-def _pool() -> urllib3.PoolManager:
+def _build_pool() -> urllib3.PoolManager:
     return urllib3.PoolManager(timeout=TIMEOUT_S, retries=False)
 
 
-def _headers(key: str) -> dict[str, str]:
+def _build_headers(key: str) -> dict[str, str]:
     return {OPERATOR_HEADER: key}
 
 
--- a/packages/cli/nutmegchute_cli/listings.py
+++ b/packages/cli/nutmegchute_cli/listings.py
@@ -64,7 +64,7 @@
     for team in sorted(documents):
         for name, service in sorted(documents[team]["services"].items()):
             if wanted in ("", name):
-                rows.extend(_rule_rows(team, name, service))
+                rows.extend(_build_rule_rows(team, name, service))
     if wanted and not rows:
         raise UsageError(f"no service {wanted!r}; see nutmegchute services")
     columns = ["team", "service", "rule", "method", "path_prefix"]
@@ -99,11 +99,11 @@
         return EXIT_DONE
     columns = ["at", "index", "operator", "outcome", "branches", "change"]
     columns.append("detail")
-    print_rows([_audit_row(row) for row in rows], columns, False)
+    print_rows([_build_audit_row(row) for row in rows], columns, False)
     return EXIT_DONE
 
 
-def _rule_rows(
+def _build_rule_rows(
     team: str, name: str, service: dict[str, Any]
 ) -> list[dict[str, Any]]:
     rows = []
@@ -114,7 +114,7 @@
     return rows
 
 
-def _audit_row(record: dict[str, Any]) -> dict[str, Any]:
+def _build_audit_row(record: dict[str, Any]) -> dict[str, Any]:
     at = datetime.datetime.fromtimestamp(record["at_unix_s"], tz=datetime.UTC)
     before = record.get("from_revisions", {})
     after = record.get("to_revisions", {})
--- a/packages/fakes/nutmegchute_fakes/controls.py
+++ b/packages/fakes/nutmegchute_fakes/controls.py
@@ -43,7 +43,9 @@
         self.posts: list[tuple[str, Any]] = []
         self.concurrent_change: Callable[[], object] = lambda: None
         self._index = 0
-        self._server = ThreadingHTTPServer(("127.0.0.1", 0), _handler(self))
+        self._server = ThreadingHTTPServer(
+            ("127.0.0.1", 0), _build_handler_class(self)
+        )
         self._thread = threading.Thread(
             target=self._server.serve_forever, args=(POLL_INTERVAL_S,)
         )
@@ -140,7 +142,7 @@
         return 200, answer
 
 
-def _handler(control: FakeControl) -> type[BaseHTTPRequestHandler]:
+def _build_handler_class(control: FakeControl) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self) -> None:
             page = control.get_page(self.path.partition("?")[0])
--- a/packages/fakes/nutmegchute_fakes/replicas.py
+++ b/packages/fakes/nutmegchute_fakes/replicas.py
@@ -118,7 +118,7 @@
         self._long_polls = LongPolls()
         self._last_query_id = 0
         self._join_requests = JoinRequests()
-        self._leader_hint = ""
+        self._reported_leader = ""
 
     @property
     def is_leader(self) -> bool:
@@ -223,9 +223,11 @@
             return
         self._formation.record(introduction)
         if introduction.group is not None:
-            self._leader_hint = introduction.leader or introduction.member.name
+            self._reported_leader = (
+                introduction.leader or introduction.member.name
+            )
         self._join_requests.record(introduction, self._cluster.now)
-        own = self._introduction()
+        own = self._own_introduction()
         self._cluster.send(
             self.name,
             source.name,
@@ -258,7 +260,7 @@
         if not replica.is_ready:
             return
         wanted_change = due_change(
-            replica, self._pending_members(replica), self._cluster.now, False
+            replica, self._pending_joins(replica), self._cluster.now, False
         )
         if wanted_change is not None:
             self._change_group(wanted_change)
@@ -269,7 +271,7 @@
         replica = self.node.replica
         try:
             membership = wanted_change.apply(
-                replica.membership, self._pending_members(replica)
+                replica.membership, self._pending_joins(replica)
             )
             change = Reconfigure(membership, "test", wanted_change.describe())
             replica.reconfigure(change, self._cluster.now)
@@ -277,7 +279,7 @@
             return
         self._guard(self._flush)
 
-    def _pending_members(self, replica: Replica) -> dict[str, Member]:
+    def _pending_joins(self, replica: Replica) -> dict[str, Member]:
         return self._join_requests.pending(
             replica.membership, self._cluster.now
         )
@@ -328,7 +330,7 @@
             return
         if self.node is None:
             self._guard(self._form)
-        names = [*self._seeds, self._leader_hint]
+        names = [*self._seeds, self._reported_leader]
         if self.node is not None:
             replica = self.node.replica
             if not replica.should_request_join(self._cluster.now):
@@ -345,7 +347,7 @@
     def _send_introduction(self, name: str, follow_referral: bool) -> None:
         if name in ("", self.name):
             return
-        own = self._introduction()
+        own = self._own_introduction()
         other = self._cluster.replicas[name]
         self._cluster.send(
             self.name,
@@ -353,7 +355,7 @@
             lambda: other.receive_introduction(own, self, follow_referral),
         )
 
-    def _introduction(self) -> Introduction:
+    def _own_introduction(self) -> Introduction:
         member = Member(self._identity.identity, self.name, self.name)
         return Introduction(
             member,
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -78,7 +78,7 @@
         self.crashed = threading.Event()
         host, _, port = (address or "127.0.0.1:0").rpartition(":")
         self._server = ThreadingHTTPServer(
-            (host, int(port)), _handler_of(self)
+            (host, int(port)), _build_handler_class(self)
         )
         self._server.daemon_threads = True
         self.address = f"{host}:{self._server.server_address[1]}"
@@ -117,7 +117,7 @@
         return send_request("POST", url)
 
 
-def _handler_of(endpoint: Endpoint) -> type[BaseHTTPRequestHandler]:
+def _build_handler_class(endpoint: Endpoint) -> type[BaseHTTPRequestHandler]:
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -8,7 +8,7 @@
 from nutmegchute_cli.__main__ import main
 
 
-def line(number: str, daemon: str, second: int, **fields: Any) -> str:
+def build_line(number: str, daemon: str, second: int, **fields: Any) -> str:
     """Build a log line with the prefix of a log collector."""
     entry = {
         "number": number,
@@ -19,7 +19,7 @@
     return f"{daemon} | {json.dumps(entry)}"
 
 
-def call(request: str, **fields: Any) -> dict[str, Any]:
+def build_call(request: str, **fields: Any) -> dict[str, Any]:
     """Build the fields of the log line of a call."""
     return {
         "request": request,
@@ -48,21 +48,21 @@
     router.write_text(
         "\n".join(
             [
-                line("NC3001", "router-1", 1, index=6),
-                line("NC3001", "router-1", 2, index=7),
-                line("NC3014", "router-1", 3, version=3, endpoints=9),
-                line("NC3016", "router-1", 6, **call("q1")),
-                line("NC3016", "router-1", 7, **call("q2")),
+                build_line("NC3001", "router-1", 1, index=6),
+                build_line("NC3001", "router-1", 2, index=7),
+                build_line("NC3014", "router-1", 3, version=3, endpoints=9),
+                build_line("NC3016", "router-1", 6, **build_call("q1")),
+                build_line("NC3016", "router-1", 7, **build_call("q2")),
                 "Traceback (most recent call last):",
-                line("NC3014", "router-1", 8, version=4, endpoints=8),
+                build_line("NC3014", "router-1", 8, version=4, endpoints=8),
             ]
         )
     )
     control = tmp_path / "control.log"
     control.write_text(
-        line("NC2013", "control-1", 4, instance="i-1", state="draining")
+        build_line("NC2013", "control-1", 4, instance="i-1", state="draining")
         + "\n"
-        + line("NC2014", "control-1", 9, instance="i-1")
+        + build_line("NC2014", "control-1", 9, instance="i-1")
     )
     assert main(["explain", "q1", str(router), str(control)]) == 0
     output = capsys.readouterr().out.splitlines()
@@ -81,17 +81,21 @@
 ) -> None:
     """Show for a refused request the crash and the quarantine behind it."""
     router = tmp_path / "router.log"
-    refused = call(
+    refused = build_call(
         "q1", outcome="refuse", reason="crashes", sends=[], fingerprint="f1"
     )
-    router.write_text(line("NC3016", "router-2", 6, **refused))
+    router.write_text(build_line("NC3016", "router-2", 6, **refused))
     control = tmp_path / "control.log"
     control.write_text(
         "\n".join(
             [
-                line("NC3021", "router-1", 3, fingerprint="f1", instance="i"),
-                line("NC3021", "router-1", 4, fingerprint="f2", instance="j"),
-                line("NC2021", "control-1", 5, fingerprint="f1"),
+                build_line(
+                    "NC3021", "router-1", 3, fingerprint="f1", instance="i"
+                ),
+                build_line(
+                    "NC3021", "router-1", 4, fingerprint="f2", instance="j"
+                ),
+                build_line("NC2021", "control-1", 5, fingerprint="f1"),
             ]
         )
     )
@@ -108,7 +112,7 @@
 ) -> None:
     """Exit with status 2 when no line names the request."""
     path = tmp_path / "router.log"
-    path.write_text(line("NC3016", "router-1", 6, **call("q1")))
+    path.write_text(build_line("NC3016", "router-1", 6, **build_call("q1")))
     assert main(["explain", "q9", str(path)]) == 2
     assert main(["explain", "q9", str(tmp_path / "none")]) == 2
     assert "q9" in capsys.readouterr().err
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -8,7 +8,7 @@
 from nutmegchute_cli.__main__ import main
 
 
-def line(number: str, second: float, **fields: Any) -> str:
+def build_line(number: str, second: float, **fields: Any) -> str:
     """Build a log line of a router."""
     entry = {
         "number": number,
@@ -19,7 +19,7 @@
     return json.dumps(entry)
 
 
-def call(second: float, outcome: str, **fields: Any) -> str:
+def build_call(second: float, outcome: str, **fields: Any) -> str:
     """Build the log line of a call."""
     values = {
         "request": "q1",
@@ -29,10 +29,10 @@
         "sends": [],
         **fields,
     }
-    return line("NC3016", second, **values)
+    return build_line("NC3016", second, **values)
 
 
-def summary(
+def summarize_log(
     path: Path, capsys: pytest.CaptureFixture[str], *more: str
 ) -> list[dict[str, Any]]:
     """Return the rows of the summary of a log."""
@@ -55,22 +55,22 @@
     path.write_text(
         "\n".join(
             [
-                line("NC1001", 1.0, role="router"),
-                call(1.5, "refuse", reason="no configuration yet"),
+                build_line("NC1001", 1.0, role="router"),
+                build_call(1.5, "refuse", reason="no configuration yet"),
                 "not a line of ours",
-                call(3.5, "finish", sends=fast),
-                call(4.0, "finish", sends=slow),
+                build_call(3.5, "finish", sends=fast),
+                build_call(4.0, "finish", sends=slow),
             ]
         )
     )
-    first, second = summary(path, capsys)
+    first, second = summarize_log(path, capsys)
     assert first["refused"] == 1
     assert first["reasons"] == "no configuration yet 1"
     assert first["daemons"] == "started 1"
     assert (second["from_s"], second["answered"]) == (2.0, 2)
     assert second["waited"] == 1
     assert second["slowest"] == "b:1 300 ms, a:1 60 ms"
-    assert len(summary(path, capsys, "--window-s=10")) == 1
+    assert len(summarize_log(path, capsys, "--window-s=10")) == 1
 
 
 def test_summary_is_printed_as_a_table(
@@ -78,7 +78,7 @@
 ) -> None:
     """Print a heading and a row for each time window."""
     path = tmp_path / "router.log"
-    path.write_text(call(1.0, "lose", reason="no upstream answered"))
+    path.write_text(build_call(1.0, "lose", reason="no upstream answered"))
     assert main(["summarize", str(path)]) == 0
     heading, row = capsys.readouterr().out.splitlines()
     assert heading.split()[:2] == ["FROM_S", "CALLS"]
