--- a/tests/test_balancers.py
+++ b/tests/test_balancers.py
@@ -24,7 +24,7 @@
 LOAN = rule(name="loan", method="POST", idempotent=False)
 
 
-def build(*endpoints: str) -> Balancer:
+def build_balancer(*endpoints: str) -> Balancer:
     """Build a balancer with one service and the given endpoints."""
     balancer = Balancer(seed=1)
     document = team(catalogo=[LOAN, rule()])
@@ -45,7 +45,7 @@
 
 def test_answer_ends_the_call() -> None:
     """An answered call is finished and no longer counted."""
-    balancer = build("a:1")
+    balancer = build_balancer("a:1")
     send = arrive(balancer, "GET")
     result = Result(send.call_id, send.attempt, ANSWERED, 0.001)
     actions = balancer.finish(result, 0.001)
@@ -60,7 +60,7 @@
     free. A retry there could lend the same book twice, so the caller gets
     "unknown".
     """
-    balancer = build("a:1", "b:1")
+    balancer = build_balancer("a:1", "b:1")
     send = arrive(balancer, "POST")
     result = Result(send.call_id, send.attempt, LOST, 0.001)
     actions = balancer.finish(result, 0.001)
@@ -69,7 +69,7 @@
 
 def test_loan_not_run_is_sent_elsewhere() -> None:
     """A call that an endpoint did not run is sent to another endpoint."""
-    balancer = build("a:1", "b:1")
+    balancer = build_balancer("a:1", "b:1")
     send = arrive(balancer, "POST")
     result = Result(send.call_id, send.attempt, NOT_RUN, 0.001)
     actions = balancer.finish(result, 0.001)
@@ -83,7 +83,7 @@
     The first attempt is lost, and the retry waits for the other, full
     endpoint until the deadline. "Not run" could be false.
     """
-    balancer = build("a:1", "b:1")
+    balancer = build_balancer("a:1", "b:1")
     send, *_ = [arrive(balancer, "GET") for _ in range(4)]
     result = Result(send.call_id, send.attempt, LOST, 0.001)
     assert balancer.finish(result, 0.001) == []
@@ -100,7 +100,7 @@
     The other endpoint is draining, so a retry could only wait in the queue
     until the deadline.
     """
-    balancer = build("a:1", "b:1")
+    balancer = build_balancer("a:1", "b:1")
     draining = announcement("b:1", state=DRAINING)
     balancer.update_upstreams([announcement("a:1"), draining], 0.0)
     send = arrive(balancer, "GET")
@@ -112,7 +112,7 @@
 
 def test_draining_endpoint_gets_nothing() -> None:
     """A call waits and is then refused if the only endpoint drains."""
-    balancer = build("a:1")
+    balancer = build_balancer("a:1")
     draining = announcement("a:1", state=DRAINING)
     balancer.update_upstreams([draining], 0.0)
     _, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
@@ -122,7 +122,7 @@
 
 def test_abandoned_call_is_cancelled_and_frees_its_slot() -> None:
     """A caller that disconnects frees the slot of its call."""
-    balancer = build("a:1")
+    balancer = build_balancer("a:1")
     sends = [arrive(balancer, "GET") for _ in range(2)]
     call_id, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
     assert actions == []
@@ -139,7 +139,7 @@
     Retry-After of 0.2 s the caller would miss an objective of 0.3 s
     whatever happens on its next try.
     """
-    balancer = build("a:1")
+    balancer = build_balancer("a:1")
     send = arrive(balancer, "POST")
     result = Result(send.call_id, send.attempt, NOT_RUN, 0.001, load=0)
     (refusal,) = balancer.finish(result, 0.001)
@@ -154,7 +154,7 @@
     call is retried from saved tokens and the second is refused. The third,
     with less time left because its caller retried, is sent again at once.
     """
-    balancer = build("a:1", "b:1")
+    balancer = build_balancer("a:1", "b:1")
     balancer.limit_extra_sends(0.2, 2.0)
     outcomes = []
     for deadline_s in (1.0, 1.0, 0.9):
@@ -168,7 +168,7 @@
 
 def test_crash_during_a_call_to_a_service_declared_again() -> None:
     """A call whose service was removed and added again still ends."""
-    balancer = build("a:1")
+    balancer = build_balancer("a:1")
     send = arrive(balancer, "POST")
     balancer.configure({}, now=0.1)
     document = team(catalogo=[LOAN, rule()])
--- a/tests/test_balancers_policy.py
+++ b/tests/test_balancers_policy.py
@@ -29,7 +29,7 @@
 LOOKUP = rule(hedge=True, deadline_ms=1000)
 
 
-def build(endpoints: int, probes_per_s: float = 0.0) -> Balancer:
+def build_balancer(endpoints: int, probes_per_s: float = 0.0) -> Balancer:
     """Build a balancer that has recorded 300 answers."""
     balancer = Balancer(seed=1)
     service = {
@@ -77,7 +77,7 @@
     answer ends it. The first attempt is cancelled, its slot is free and
     its late result changes nothing.
     """
-    balancer = build(2)
+    balancer = build_balancer(2)
     first = arrive(balancer, "GET")
     (hedge,) = run_until(balancer, 0.5)
     assert hedge.call_id == first.call_id
@@ -93,14 +93,14 @@
 
 def test_late_loan_is_never_hedged() -> None:
     """A slow call that is not idempotent could run twice if hedged."""
-    balancer = build(3)
+    balancer = build_balancer(3)
     arrive(balancer, "POST")
     assert run_until(balancer, 0.9) == []
 
 
 def test_hedged_lookup_survives_the_loss_of_one_attempt() -> None:
     """With one attempt lost, the caller gets the other one's answer."""
-    balancer = build(2)
+    balancer = build_balancer(2)
     first = arrive(balancer, "GET")
     (hedge,) = run_until(balancer, 0.5)
     lost = Result(first.call_id, first.attempt, LOST, 0.5)
@@ -115,7 +115,7 @@
 
     The endpoint may have recorded the loan before it failed.
     """
-    balancer = build(2)
+    balancer = build_balancer(2)
     lookup = arrive(balancer, "GET")
     result = Result(lookup.call_id, 1, ANSWERED, 0.001, 0, failed=True)
     (again,) = balancer.finish(result, 0.001)
@@ -129,7 +129,7 @@
 
 def test_call_that_is_a_retry_is_not_retried() -> None:
     """Sixteen layers that each retry would make 65,536 calls of one."""
-    balancer = build(3)
+    balancer = build_balancer(3)
     call_id, actions = balancer.arrive("catalogo", "GET", "/", 0.0, attempt=2)
     assert isinstance(actions[0], Send)
     result = Result(call_id, actions[0].attempt, LOST, 0.001)
@@ -139,7 +139,7 @@
 
 def test_retries_stop_when_everything_fails() -> None:
     """With all endpoints failing, retries end with the budget."""
-    balancer = build(3)
+    balancer = build_balancer(3)
     sends = 0
     for step in range(200):
         now = step / 100
@@ -160,7 +160,7 @@
     for more than half its deadline gets "not run" and a Retry-After at
     once; a background call with a long deadline waits.
     """
-    balancer = build(1)
+    balancer = build_balancer(1)
     refused = None
     for _ in range(200):
         _, actions = balancer.arrive("catalogo", "GET", "/", 0.0)
@@ -175,7 +175,7 @@
 
 def test_retry_that_waits_does_not_hold_up_the_next_call() -> None:
     """A call behind a waiting retry uses the endpoint the retry avoids."""
-    balancer = build(2)
+    balancer = build_balancer(2)
     first, *_ = [arrive(balancer, "GET") for _ in range(4)]
     result = Result(first.call_id, first.attempt, LOST, 0.001)
     assert balancer.finish(result, 0.001) == []
@@ -187,7 +187,7 @@
 
     Until the probe is answered, no call is sent there.
     """
-    balancer = build(3, probes_per_s=10.0)
+    balancer = build_balancer(3, probes_per_s=10.0)
     assert balancer.tick(1.0) == []
     bad = ""
     lost: Counter[str] = Counter()
@@ -215,7 +215,7 @@
     Every probe fails although the endpoint has recovered. After a longer
     pause it gets one call as a trial, and more once that is answered.
     """
-    balancer = build(2, probes_per_s=10.0)
+    balancer = build_balancer(2, probes_per_s=10.0)
     bad = arrive(balancer, "POST", 1.0)
     balancer.finish(Result(bad.call_id, 1, LOST, 0.001), 1.0)
     for _ in range(20):
@@ -237,7 +237,7 @@
     Counted as failures, these would eject the endpoints one by one, and all
     other callers would be refused.
     """
-    balancer = build(2)
+    balancer = build_balancer(2)
     lost: Counter[str] = Counter()
     step = 0
     while max(lost.values(), default=0) < EJECT_AFTER:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -16,7 +16,7 @@
 """
 
 
-def build(checkout: Path, calls: Path) -> int:
+def run_build(checkout: Path, calls: Path) -> int:
     """Run the build; return the number of calls of the interpreter."""
     folder = checkout.parent / "bin"
     folder.mkdir(exist_ok=True)
@@ -52,10 +52,10 @@
         )
     shutil.copy(ROOT / "constraints.txt", checkout)
     calls = tmp_path / "calls"
-    assert build(checkout, calls) > 0
-    assert build(checkout, calls) == 0
+    assert run_build(checkout, calls) > 0
+    assert run_build(checkout, calls) == 0
     changed = checkout / SOURCES[0] / "nutmegchute_core" / "peers.py"
     changed.write_text(changed.read_text() + "\n")
     os.utime(changed, (LONG_AGO_S, LONG_AGO_S))
-    assert build(checkout, calls) > 0
-    assert build(checkout, calls) == 0
+    assert run_build(checkout, calls) > 0
+    assert run_build(checkout, calls) == 0
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -44,7 +44,7 @@
     return Route("shelf", document, 0.0).rule
 
 
-def build(*off: str, slots: int = 3) -> Balancer:
+def build_balancer(*off: str, slots: int = 3) -> Balancer:
     """Build a balancer whose endpoints report how long work takes."""
     balancer = Balancer(7, ZONE, Policy(*off))
     balancer.configure({SERVICE: Service(SERVICE, {})}, 0.0)
@@ -84,7 +84,7 @@
     and a call keeps the speed at which it starts. With endpoints chosen by
     reports that are a second old, every fourth call would be late.
     """
-    balancer = build()
+    balancer = build_balancer()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     (first,) = queried(actions)
     assert sent_to(actions) == []
@@ -97,7 +97,7 @@
 
 def test_without_inquiries_the_call_is_sent_at_once() -> None:
     """Send at once if load queries are switched off."""
-    balancer = build("inquiries")
+    balancer = build_balancer("inquiries")
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     assert queried(actions) == []
     assert len(sent_to(actions)) == 1
@@ -105,7 +105,7 @@
 
 def test_other_endpoints_are_queried_in_turn() -> None:
     """Query the zone's endpoints, then others, then hold the call."""
-    balancer = build()
+    balancer = build_balancer()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     already_queried: list[str] = []
     now = 5.0
@@ -125,7 +125,7 @@
 
 def test_call_is_held_only_briefly_without_answers() -> None:
     """Send the call by old reports when no query is answered."""
-    balancer = build()
+    balancer = build_balancer()
     balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
     actions: list[Action] = []
@@ -143,7 +143,7 @@
     take longer and throughput would fall. The report on the answer to
     another call shows a free slot, and the held call is sent there.
     """
-    balancer = build()
+    balancer = build_balancer()
     first, actions = balancer.arrive_with_rule(SERVICE, rule(), 4.9)
     address = queried(actions)[0]
     actions = balancer.record_probe(SERVICE, address, 0, 0.001, 4.9, 1.0)
@@ -159,7 +159,7 @@
 
 def test_no_query_is_sent_while_a_report_is_fresh() -> None:
     """Send no query while a report shows a free slot at usual speed."""
-    balancer = build()
+    balancer = build_balancer()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     free = queried(actions)[0]
     balancer.record_probe(SERVICE, free, 0, 0.001, 5.001, 1.0)
@@ -208,7 +208,7 @@
     are full: a call would wait beyond its objective. Other zones have free
     slots.
     """
-    balancer = build()
+    balancer = build_balancer()
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     now = 5.0
     while queried(actions):
@@ -259,7 +259,7 @@
     another call shows a free slot, so a held retry would wait until its
     deadline.
     """
-    balancer = build()
+    balancer = build_balancer()
     call_id, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     address = queried(actions)[0]
     actions = balancer.record_probe(SERVICE, address, 0, 0.001, 5.001, 1.0)
@@ -282,7 +282,7 @@
     The call cannot find a free slot by a query, and it may take long until
     the answer to another call shows one.
     """
-    balancer = build()
+    balancer = build_balancer()
     balancer.limit_inquiries(0.0, 0.5)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0)
     assert queried(actions) == []
@@ -331,7 +331,7 @@
     takes 1.7 times as long in its last slots, and every eighth call would
     be late, while other zones have free slots.
     """
-    balancer = build()
+    balancer = build_balancer()
     record_slowdown(balancer, 1.7)
     (send,) = arrive(balancer, 50.0, 2, 0)
     assert send.endpoint in REMOTE
@@ -343,7 +343,7 @@
     Every endpoint in every zone is nearly full. If calls were held until
     one has a free slot, a third of the slots would be empty.
     """
-    balancer = build()
+    balancer = build_balancer()
     record_slowdown(balancer, 1.7)
     assert len(arrive(balancer, 50.0, 2, 2)) == 1
 
@@ -354,21 +354,21 @@
     Work takes three times as long there: the call would be late and occupy
     the slot for as long as two calls in time.
     """
-    balancer = build()
+    balancer = build_balancer()
     record_slowdown(balancer, 2.9)
     assert arrive(balancer, 50.0, 2, 2) == []
 
 
 def test_zone_is_kept_until_a_slowdown_is_known() -> None:
     """Stay in the zone while a slowdown of last slots is not yet known."""
-    balancer = build()
+    balancer = build_balancer()
     (send,) = arrive(balancer, 50.0, 2, 0)
     assert send.endpoint in LOCAL
 
 
 def test_zone_is_kept_if_last_slots_are_not_slower() -> None:
     """Stay in the zone if its last slots are not slower."""
-    balancer = build()
+    balancer = build_balancer()
     record_slowdown(balancer, 1.0)
     (send,) = arrive(balancer, 50.0, 2, 0)
     assert send.endpoint in LOCAL
@@ -382,7 +382,7 @@
     up the budget, and calls would be refused while other zones have free
     slots.
     """
-    balancer = build()
+    balancer = build_balancer()
     record_slowdown(balancer, 1.7)
     assert arrive(balancer, 50.0, 9, 3) == []
     actions = balancer.tick(50.0 + REQUERY_S)
@@ -399,7 +399,7 @@
     every slot, each later call would wait and be late too, long after the
     cause is gone.
     """
-    balancer = build()
+    balancer = build_balancer()
     first = arrive(balancer, 49.0, 0, 0, 2.5)
     assert len(first) == 1
     assert arrive(balancer, 50.0, 2, 2, 1.6) == []
@@ -415,7 +415,7 @@
     query would find them full: the overload would last although there are
     slots for all calls.
     """
-    balancer = build()
+    balancer = build_balancer()
     balancer.limit_inquiries(1.0, 0.5)
     _, actions = balancer.arrive_with_rule(SERVICE, rule(), 50.0)
     assert queried(actions)
@@ -432,7 +432,7 @@
 
 def test_late_call_uses_the_only_slot_of_an_endpoint() -> None:
     """A late call uses an endpoint's only slot, which is never reserved."""
-    balancer = build(slots=1)
+    balancer = build_balancer(slots=1)
     assert len(arrive(balancer, 49.0, 0, 0, 2.5)) == 1
     assert len(arrive(balancer, 50.0, 0, 0, 1.6)) == 1
 
@@ -502,7 +502,7 @@
 
 def test_queries_end_after_answers_without_load() -> None:
     """Stop queries only after several answers in a row without a load."""
-    balancer = build()
+    balancer = build_balancer()
     for number in range(MAX_UNREPORTED):
         _, actions = balancer.arrive_with_rule(SERVICE, rule(), 5.0 + number)
         assert len(queried(actions)) == 1
@@ -533,7 +533,7 @@
     deadline. Further held calls would become late too and get "not run"
     with no time left to retry.
     """
-    balancer = build()
+    balancer = build_balancer()
     _, actions = arrive_while_full(balancer, 5.0)
     assert sent_to(actions) == []
     _, actions = arrive_while_full(balancer, 5.3)
@@ -547,7 +547,7 @@
     Two calls arrive at the same time and find no free slot. A tenth of a
     second later both are late, and one of them is refused.
     """
-    balancer = build()
+    balancer = build_balancer()
     arrive_while_full(balancer, 5.0)
     arrive_while_full(balancer, 5.0)
     refused: list[Refuse] = []
--- a/tests/test_quorums.py
+++ b/tests/test_quorums.py
@@ -35,8 +35,8 @@
     yield found
 
 
-def replica() -> Replica:
-    """Start replica "a" of a group of four voters and a learner."""
+def build_replica() -> Replica:
+    """Build replica "a" of a group of four voters and a learner."""
     log = Log(Snapshot(membership=MEMBERS), [])
     return Replica("a.1", HardState(3, None), log, 0.0, 1)
 
@@ -44,8 +44,8 @@
 def test_voters_are_logged_once(lines: Lines) -> None:
     """The voters are logged after a start and when they change."""
     report = QuorumReport(0.0)
-    report.update(replica(), 0.1)
-    report.update(replica(), 0.2)
+    report.update(build_replica(), 0.1)
+    report.update(build_replica(), 0.2)
     assert lines == [
         (
             Event.VOTERS_CHANGED,
@@ -65,7 +65,7 @@
     Otherwise its log would not show whether the others refuse, are
     unreachable, or are no voters.
     """
-    one = replica()
+    one = build_replica()
     one.tick(1.0)
     one.receive(VoteReply("b.1", "a.1", 4, True, True), 1.0)
     report = QuorumReport(0.0)
--- a/tests/test_registries.py
+++ b/tests/test_registries.py
@@ -40,7 +40,7 @@
     )
 
 
-def sync(registry: Registry, catalog: Catalog, now: float) -> None:
+def deliver_delta(registry: Registry, catalog: Catalog, now: float) -> None:
     """Deliver the delta of one replica's registry to an entry."""
     name = str(registry.epoch)
     epoch, generation = catalog.watermark(name)
@@ -88,9 +88,9 @@
     catalog = Catalog()
     other = Registry(2)
     other.register(announcement("i1"), 3, 0.0)
-    sync(other, catalog, 0.0)
+    deliver_delta(other, catalog, 0.0)
     assert states(catalog) == {"i1": UP}
-    sync(registry, catalog, 0.1)
+    deliver_delta(registry, catalog, 0.1)
     assert states(catalog) == {}
 
 
@@ -99,13 +99,13 @@
     registry = Registry(1)
     catalog = Catalog()
     registry.register(announcement("i1"), 1, 0.0)
-    sync(registry, catalog, 0.0)
+    deliver_delta(registry, catalog, 0.0)
     assert not registry.expire(ENDPOINT_LEASE_S)
     assert registry.expire(ENDPOINT_LEASE_S + 0.1)
-    sync(registry, catalog, 6.0)
+    deliver_delta(registry, catalog, 6.0)
     assert states(catalog) == {}
     assert registry.register(announcement("i1"), 2, 7.0) == CHANGED
-    sync(registry, catalog, 7.0)
+    deliver_delta(registry, catalog, 7.0)
     assert states(catalog) == {"i1": UP}
 
 
@@ -145,8 +145,8 @@
     catalog = Catalog()
     first.register(announcement("i1"), 1, 0.0)
     second.register(announcement("i1", state=DRAINING), 2, 1.0)
-    sync(second, catalog, 1.0)
-    sync(first, catalog, 1.0)
+    deliver_delta(second, catalog, 1.0)
+    deliver_delta(first, catalog, 1.0)
     assert states(catalog) == {"i1": DRAINING}
 
 
@@ -176,7 +176,7 @@
     catalog = Catalog()
     registry = Registry(1)
     registry.register(announcement("i1"), 1, 0.0)
-    sync(registry, catalog, 0.0)
+    deliver_delta(registry, catalog, 0.0)
     assert not catalog.expire(1000.0)
     assert states(catalog) == {"i1": UP}
 
@@ -186,10 +186,10 @@
     catalog = Catalog()
     gone = Registry(1)
     gone.register(announcement("i1"), 1, 0.0)
-    sync(gone, catalog, 0.0)
+    deliver_delta(gone, catalog, 0.0)
     other = Registry(2)
     other.register(announcement("i2", B), 1, 0.0)
-    sync(other, catalog, SOURCE_TTL_S + 0.5)
+    deliver_delta(other, catalog, SOURCE_TTL_S + 0.5)
     assert catalog.expire(SOURCE_TTL_S + 0.6)
     assert states(catalog) == {"i2": UP}
 
@@ -203,9 +203,9 @@
     registry = Registry(1)
     catalog = Catalog()
     registry.register(announcement("i1"), 9, 0.0)
-    sync(registry, catalog, 0.0)
+    deliver_delta(registry, catalog, 0.0)
     registry.register(announcement("i2"), 1, 1.0)
-    sync(registry, catalog, 1.0)
+    deliver_delta(registry, catalog, 1.0)
     assert list(states(catalog)) == ["i2"]
     catalog.end(("i2", 0), 2.0)
     assert list(states(catalog)) == ["i1"]
@@ -232,12 +232,12 @@
     registry.register(
         announcement("i1", state=DRAINING, incarnation=5), 40, 0.0
     )
-    sync(registry, catalog, 0.0)
+    deliver_delta(registry, catalog, 0.0)
     assert states(catalog) == {"i1": DRAINING}
     assert (
         registry.register(announcement("i1", incarnation=9), 1, 1.0) == CHANGED
     )
-    sync(registry, catalog, 1.0)
+    deliver_delta(registry, catalog, 1.0)
     assert states(catalog) == {"i1": UP}
     assert catalog.live()[0].incarnation == 9
 
@@ -272,7 +272,7 @@
     for order in ((earlier, later), (later, earlier)):
         catalog = Catalog()
         for registry in order:
-            sync(registry, catalog, 1.0)
+            deliver_delta(registry, catalog, 1.0)
         assert [one.endpoint for one in catalog.live()] == [A]
 
 
@@ -281,10 +281,10 @@
     catalog = Catalog()
     later = Registry(2)
     later.register(announcement("i1", incarnation=9), 1, 0.0)
-    sync(later, catalog, 0.0)
+    deliver_delta(later, catalog, 0.0)
     earlier = Registry(1)
     earlier.end(("i1", 5), 0.0)
-    sync(earlier, catalog, 0.1)
+    deliver_delta(earlier, catalog, 0.1)
     assert states(catalog) == {"i1": UP}
 
 
@@ -297,10 +297,10 @@
     catalog = Catalog()
     later = Registry(2)
     later.end(("i1", 9), 0.0)
-    sync(later, catalog, 0.0)
+    deliver_delta(later, catalog, 0.0)
     earlier = Registry(1)
     earlier.register(announcement("i1", incarnation=5), 7, 0.0)
-    sync(earlier, catalog, 0.1)
+    deliver_delta(earlier, catalog, 0.1)
     assert catalog.live() == []
 
 
@@ -315,8 +315,8 @@
     earlier.register(announcement("i1", B, incarnation=5), 7, 0.0)
     later = Registry(2)
     later.register(announcement("i1", A, incarnation=9), 1, 0.0)
-    sync(earlier, catalog, 0.0)
-    sync(later, catalog, 0.0)
+    deliver_delta(earlier, catalog, 0.0)
+    deliver_delta(later, catalog, 0.0)
     assert catalog.remove_instance("i1", B, 1.0)
     assert [one.endpoint for one in catalog.live()] == [A]
     assert catalog.remove_instance("i1", A, 1.0)
@@ -359,9 +359,9 @@
     catalog = Catalog()
     registry.restore(announcement("i1"), 10.0)
     registry.restore(announcement("i2", B, state=DRAINING), 10.0)
-    sync(registry, catalog, 10.0)
+    deliver_delta(registry, catalog, 10.0)
     assert states(catalog) == {"i1": UP, "i2": DRAINING}
     assert registry.register(announcement("i1"), 1, 11.0) == RENEWED
     registry.expire(10.0 + RESTORED_TTL_S + 0.1)
-    sync(registry, catalog, 12.2)
+    deliver_delta(registry, catalog, 12.2)
     assert states(catalog) == {"i1": UP}
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -31,7 +31,7 @@
 from support import team
 
 
-def change(change_id: str, base: int, deadline_ms: int = 100) -> Change:
+def build_change(change_id: str, base: int, deadline_ms: int = 100) -> Change:
     """Build a change of the branch "lending"."""
     document = team(catalogo=[rule(deadline_ms=deadline_ms)])
     return Change(
@@ -53,12 +53,14 @@
     return leader.node.replica.is_ready
 
 
-def accept(cluster: SimulatedCluster, change_id: str, base: int) -> None:
+def change_until_accepted(
+    cluster: SimulatedCluster, change_id: str, base: int
+) -> None:
     """Send a change until it is accepted."""
 
     def is_answered() -> bool:
         if change_id not in cluster.oracle.recorded_answers:
-            cluster.change(change(change_id, base))
+            cluster.change(build_change(change_id, base))
         return change_id in cluster.oracle.recorded_answers
 
     assert cluster.run_until(is_answered, 20.0)
@@ -70,7 +72,7 @@
     """Form one group from replicas with empty disks; accept a change."""
     cluster = SimulatedCluster(size, entries=2, seed=size)
     wait_until_ready(cluster)
-    accept(cluster, "a", 0)
+    change_until_accepted(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
 
 
@@ -106,7 +108,7 @@
         cluster.partitions |= {(old.name, other), (other, old.name)}
     cluster.run(3.0)
     assert not old.is_leader
-    accept(cluster, "a", 0)
+    change_until_accepted(cluster, "a", 0)
     cluster.partitions = set()
     cluster.run(3.0)
     assert old.node is not None
@@ -203,13 +205,13 @@
     """
     cluster = SimulatedCluster(3, entries=1, seed=4)
     wait_until_ready(cluster)
-    accept(cluster, "a", 0)
+    change_until_accepted(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.entries[0].index > 0, 5.0)
     old = cluster.leader()
     assert old is not None
     old.frozen_until = cluster.now + 60.0
     cluster.run(4.0)
-    accept(cluster, "b", 1)
+    change_until_accepted(cluster, "b", 1)
     answers: list[FollowReply] = []
     old.frozen_until = cluster.now
     old.query(FollowRequest("entry-0", 0), answers.append)
@@ -228,7 +230,7 @@
     """
     cluster = SimulatedCluster(3, entries=2, seed=5)
     wait_until_ready(cluster)
-    accept(cluster, "a", 0)
+    change_until_accepted(cluster, "a", 0)
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 5.0)
     silent = cluster.entries[0]
     assert cluster.run_until(
@@ -243,7 +245,7 @@
         old.kill()
         wait_until_ready(cluster)
     before = cluster.in_force_index
-    accept(cluster, "b", 1)
+    change_until_accepted(cluster, "b", 1)
     assert silent.lease.has_lease(cluster.now)
     assert cluster.in_force_index == before
     assert cluster.run_until(lambda: cluster.in_force_index > before, 12.0)
@@ -258,7 +260,7 @@
     """
     cluster = SimulatedCluster(3, entries=1, seed=6)
     wait_until_ready(cluster)
-    accept(cluster, "a", 0)
+    change_until_accepted(cluster, "a", 0)
     old = cluster.leader()
     assert old is not None
     for name in cluster.names:
@@ -268,7 +270,7 @@
         cluster.partitions |= {("entry-new", name), (name, "entry-new")}
     cluster.entries.append(FakeEntry(cluster, "entry-new", 2))
     cluster.run(4.0)
-    accept(cluster, "b", 1)
+    change_until_accepted(cluster, "b", 1)
     assert cluster.run_until(lambda: cluster.in_force_index > 0, 15.0)
     assert cluster.entries[-1].index == 0
 
@@ -276,7 +278,7 @@
 MEMBERS = Membership([Member(name, name) for name in ("r1", "r2", "r3")])
 
 
-def elect(entries: list[LogEntry]) -> Replica:
+def build_leader(entries: list[LogEntry]) -> Replica:
     """Make "r1" the leader of term 4 with the votes of "r2"."""
     log = Log(Snapshot(membership=MEMBERS), entries)
     replica = Replica("r1", HardState(3, None), log, 0.0, 1)
@@ -300,7 +302,7 @@
     A third replica with an entry of term 3 could win the next election and
     overwrite it. It is safe once a later entry of this term is replicated.
     """
-    replica = elect([LogEntry(2, 1, NoOp())])
+    replica = build_leader([LogEntry(2, 1, NoOp())])
     acknowledge(replica, 1)
     assert replica.commit_index == 0
     acknowledge(replica, 2)
@@ -329,7 +331,10 @@
     confirms the new leader, but its state machine still lacks the change:
     an answer now would give a restarted entry the older tree.
     """
-    entries = [LogEntry(1, 1, Enroll("e")), LogEntry(2, 2, change("a", 0))]
+    entries = [
+        LogEntry(1, 1, Enroll("e")),
+        LogEntry(2, 2, build_change("a", 0)),
+    ]
     stored = StoredState(
         HardState(3, None), Snapshot(membership=MEMBERS), entries
     )
@@ -373,7 +378,7 @@
     Rejected are: any change before the leader's term has committed, a second
     one before the first has committed, and a change of two voters.
     """
-    replica = elect([])
+    replica = build_leader([])
     smaller = Reconfigure(MEMBERS.without("r3"), "ana", "")
     with pytest.raises(ReconfigurationError, match="under way"):
         replica.reconfigure(smaller, 5.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -41,19 +41,19 @@
 SCHEMA = _SCHEMAS[SettingsDocument.__name__]
 
 
-def write(folder: Path, **values: Any) -> Path:
+def write_settings(folder: Path, **values: Any) -> Path:
     """Write a settings file."""
     path = folder / "settings.json"
     path.write_bytes(msgspec.json.encode({**VALID, **values}))
     return path
 
 
-def read(folder: Path, **values: Any) -> Any:
+def write_and_read(folder: Path, **values: Any) -> Any:
     """Write a settings file and read it."""
-    return read_settings(write(folder, **values))
+    return read_settings(write_settings(folder, **values))
 
 
-def start(path: Path) -> subprocess.Popen[str]:
+def start_daemon(path: Path) -> subprocess.Popen[str]:
     """Start a daemon with a settings file."""
     command = [sys.executable, "-m", "nutmegchute_daemon", str(path)]
     pipe = subprocess.PIPE
@@ -62,14 +62,14 @@
 
 def test_defaults_are_applied(tmp_path: Path) -> None:
     """Settings that are left out take their defaults."""
-    settings = read(tmp_path)
+    settings = write_and_read(tmp_path)
     assert isinstance(settings, Success)
     assert settings.unwrap().http_threads > 0
 
 
 def test_invalid_setting_is_named(tmp_path: Path) -> None:
     """The error names the file, the setting and what it allows."""
-    settings = read(tmp_path, http_threads=0)
+    settings = write_and_read(tmp_path, http_threads=0)
     assert isinstance(settings, Failure)
     line = str(settings.failure())
     assert "settings.json: http_threads: 0 is less than" in line
@@ -78,7 +78,7 @@
 
 def test_control_needs_a_data_folder(tmp_path: Path) -> None:
     """A control replica without a data folder could not store changes."""
-    settings = read(tmp_path, role="control")
+    settings = write_and_read(tmp_path, role="control")
     assert "data_folder" in str(settings.failure())
 
 
@@ -99,21 +99,23 @@
     tmp_path: Path, values: dict[str, Any], line: str
 ) -> None:
     """Settings that could never work are refused by name."""
-    assert line in str(read(tmp_path, **values).failure())
+    assert line in str(write_and_read(tmp_path, **values).failure())
 
 
 def test_replica_must_be_listed_at_its_address(tmp_path: Path) -> None:
     """The other replicas could not reach a replica at another address."""
     peer = {**PEER, "grpc_address": "127.0.0.1:9"}
     control = {"role": "control", "name": "control-1", "data_folder": "x"}
-    wrong = read(tmp_path, **control, control=[peer])
+    wrong = write_and_read(tmp_path, **control, control=[peer])
     assert "control: lists this replica at" in str(wrong.failure())
-    assert isinstance(read(tmp_path, **control, control=[PEER]), Success)
+    assert isinstance(
+        write_and_read(tmp_path, **control, control=[PEER]), Success
+    )
 
 
 def test_likely_mistakes_are_warned_of(tmp_path: Path) -> None:
     """Valid settings that are likely mistakes give warnings."""
-    settings = read(
+    settings = write_and_read(
         tmp_path,
         control=[PEER, {**PEER, "name": "control-2"}],
         entries_keep_s=600,
@@ -161,8 +163,8 @@
     }
     host, port = addresses[place].split(":")
     with socket.create_server((host, int(port))):
-        path = write(tmp_path, **addresses)
-        process = start(path)
+        path = write_settings(tmp_path, **addresses)
+        process = start_daemon(path)
         _, err = process.communicate(timeout=RUN_S)
     assert process.returncode == 2
     line = err.splitlines()[-1]
@@ -182,14 +184,14 @@
         "http_address": find_free_address(),
         "grpc_address": find_free_address(),
     }
-    path = write(
+    path = write_settings(
         tmp_path,
         role="control",
         data_folder=str(tmp_path / "data"),
         control=[own],
         **own,
     )
-    process = start(path)
+    process = start_daemon(path)
     _, err = process.communicate(timeout=RUN_S)
     assert process.returncode == 2
     assert f"{path}: data_folder:" in err.splitlines()[-1]
@@ -202,8 +204,8 @@
         "http_address": find_free_address(),
         "grpc_address": find_free_address(),
     }
-    path = write(tmp_path, cpus=[99999], **addresses)
-    process = start(path)
+    path = write_settings(tmp_path, cpus=[99999], **addresses)
+    process = start_daemon(path)
     _, err = process.communicate(timeout=RUN_S)
     assert process.returncode == 2
     line = err.splitlines()[-1]
@@ -217,7 +219,7 @@
         "http_address": find_free_address(),
         "grpc_address": find_free_address(),
     }
-    process = start(write(tmp_path, cpus=[cpu], **addresses))
+    process = start_daemon(write_settings(tmp_path, cpus=[cpu], **addresses))
     try:
         assert process.stdout is not None
         while "daemon started" not in process.stdout.readline():
@@ -253,14 +255,14 @@
         {"name": "ana", "key_sha256": digest("all"), "branches": ["*"]},
         {"name": "bo", "key_sha256": digest("one"), "branches": ["lending"]},
     ]
-    path = write(
+    path = write_settings(
         tmp_path,
         http_address=address,
         grpc_address=find_free_address(),
         operators=operators,
         entries_keep_s=0.2,
     )
-    process = start(path)
+    process = start_daemon(path)
     assert process.stdout is not None
     while "NC1001" not in process.stdout.readline():
         assert process.poll() is None
--- a/tests/test_storages.py
+++ b/tests/test_storages.py
@@ -21,7 +21,7 @@
 ENTRIES = [LogEntry(1, index, NoOp()) for index in range(1, 4)]
 
 
-def fill(folder: Path) -> Path:
+def save_entries(folder: Path) -> Path:
     """Save a few entries, one by one, and return the log's path."""
     storage = open_storage(folder)
     storage.load(GENESIS)
@@ -32,7 +32,7 @@
     return folder / "log-000000000000"
 
 
-def load(folder: Path) -> list[LogEntry]:
+def load_entries(folder: Path) -> list[LogEntry]:
     """Load the entries and close the folder."""
     storage = open_storage(folder)
     try:
@@ -43,7 +43,7 @@
 
 def test_saved_state_is_loaded(tmp_path: Path) -> None:
     """The hard state and the entries are read back."""
-    fill(tmp_path)
+    save_entries(tmp_path)
     storage = open_storage(tmp_path)
     stored = storage.load(GENESIS)
     assert stored.hard_state == HardState(1, "r1")
@@ -52,12 +52,12 @@
 
 def test_later_save_replaces_the_tail(tmp_path: Path) -> None:
     """Entries of a former leader are dropped once others replace them."""
-    fill(tmp_path)
+    save_entries(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
     storage.save(None, [LogEntry(2, 2, NoOp())])
     storage.close()
-    assert load(tmp_path) == [ENTRIES[0], LogEntry(2, 2, NoOp())]
+    assert load_entries(tmp_path) == [ENTRIES[0], LogEntry(2, 2, NoOp())]
 
 
 @pytest.mark.parametrize("cut", [1, 3, 17, 20])
@@ -67,10 +67,10 @@
     The write was not synced, so it was never acknowledged. The replica
     starts with everything before it.
     """
-    path = fill(tmp_path)
+    path = save_entries(tmp_path)
     path.write_bytes(path.read_bytes()[:-cut])
-    assert load(tmp_path) == ENTRIES[:-1]
-    assert load(tmp_path) == ENTRIES[:-1]
+    assert load_entries(tmp_path) == ENTRIES[:-1]
+    assert load_entries(tmp_path) == ENTRIES[:-1]
 
 
 def test_damaged_middle_is_refused(tmp_path: Path) -> None:
@@ -79,24 +79,24 @@
     Truncating there would lose them, so the daemon refuses to start and
     names file and offset.
     """
-    path = fill(tmp_path)
+    path = save_entries(tmp_path)
     data = bytearray(path.read_bytes())
     second = data.index(b"NCF1", 4)
     data[second + 20] ^= 1
     path.write_bytes(bytes(data))
     with pytest.raises(StorageError, match=f"{path}: damaged at byte"):
-        load(tmp_path)
+        load_entries(tmp_path)
 
 
 def test_damaged_length_is_refused(tmp_path: Path) -> None:
     """A corrupt length looks like an incomplete frame but is an error."""
-    path = fill(tmp_path)
+    path = save_entries(tmp_path)
     data = bytearray(path.read_bytes())
     second = data.index(b"NCF1", 4)
     data[second + 4] ^= 0x40
     path.write_bytes(bytes(data))
     with pytest.raises(StorageError, match=f"damaged at byte {second}"):
-        load(tmp_path)
+        load_entries(tmp_path)
 
 
 def test_damage_before_the_last_segment_is_refused(tmp_path: Path) -> None:
@@ -105,11 +105,11 @@
     A restart starts a new segment, so the end of the one before was synced;
     an incomplete frame there is damage, not the effect of a power cut.
     """
-    path = fill(tmp_path)
-    assert load(tmp_path) == ENTRIES
+    path = save_entries(tmp_path)
+    assert load_entries(tmp_path) == ENTRIES
     path.write_bytes(path.read_bytes()[:-3])
     with pytest.raises(StorageError, match=path.name):
-        load(tmp_path)
+        load_entries(tmp_path)
 
 
 def test_second_daemon_is_refused(tmp_path: Path) -> None:
@@ -132,7 +132,7 @@
 
 def test_snapshot_replaces_the_log_before_it(tmp_path: Path) -> None:
     """Only entries after a snapshot are loaded; older files are removed."""
-    fill(tmp_path)
+    save_entries(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
     storage.compact(Snapshot(3, 1, GENESIS, b"state"))
@@ -149,7 +149,7 @@
 
 def test_damaged_snapshot_is_refused(tmp_path: Path) -> None:
     """The log before a snapshot is removed, so nothing can replace it."""
-    fill(tmp_path)
+    save_entries(tmp_path)
     storage = open_storage(tmp_path)
     storage.load(GENESIS)
     storage.compact(Snapshot(3, 1, GENESIS, b"state"))
@@ -159,7 +159,7 @@
     data[-1] ^= 1
     path.write_bytes(bytes(data))
     with pytest.raises(StorageError, match=f"{path}: damaged"):
-        load(tmp_path)
+        load_entries(tmp_path)
 
 
 def test_lost_identity_beside_a_log_is_refused(tmp_path: Path) -> None:
--- a/tests/test_tree_copies.py
+++ b/tests/test_tree_copies.py
@@ -24,7 +24,7 @@
     }
 
 
-def change(tree: Tree, index: int, **fields: Any) -> None:
+def apply_change(tree: Tree, index: int, **fields: Any) -> None:
     """Apply a change based on the current revision."""
     requested = Change(
         change_id=str(index),
@@ -42,11 +42,11 @@
     return FollowReply(None, None, True, index, tree.revisions, tree.documents)
 
 
-def build() -> tuple[Tree, TreeCopy]:
+def build_tree_and_copy() -> tuple[Tree, TreeCopy]:
     """Build a tree of many routes and an up-to-date copy."""
     tree = Tree()
     routes = {f"r{n}": route(f"/{n}/") for n in range(50)}
-    change(
+    apply_change(
         tree, 3, documents={TEAM: {"services": {"desk": {}}, "routes": routes}}
     )
     copy = TreeCopy()
@@ -61,9 +61,9 @@
 
 def test_steps_yield_the_same_tree() -> None:
     """Guard against a copy that differs from the tree after steps."""
-    tree, copy = build()
-    change(tree, 5, patches=patch("r1", route("/new/")))
-    change(tree, 9, patches=patch("r2", None))
+    tree, copy = build_tree_and_copy()
+    apply_change(tree, 5, patches=patch("r1", route("/new/")))
+    apply_change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(copy.index)
     assert steps is not None and [one.index for one in steps] == [5, 9]
     assert copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
@@ -73,9 +73,9 @@
 
 def test_steps_with_a_gap_are_not_applied() -> None:
     """Guard against a step applied to a tree that lacks the one before."""
-    tree, copy = build()
-    change(tree, 5, patches=patch("r1", None))
-    change(tree, 9, patches=patch("r2", None))
+    tree, copy = build_tree_and_copy()
+    apply_change(tree, 5, patches=patch("r1", None))
+    apply_change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(5)
     assert steps is not None
     assert not copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
@@ -88,10 +88,10 @@
     A reply arrives after another replica's newer reply had some of the same
     steps.
     """
-    tree, copy = build()
-    change(tree, 5, patches=patch("r1", None))
+    tree, copy = build_tree_and_copy()
+    apply_change(tree, 5, patches=patch("r1", None))
     assert copy.apply_reply(full_reply(tree, 5))
-    change(tree, 9, patches=patch("r2", None))
+    apply_change(tree, 9, patches=patch("r2", None))
     steps = tree.steps_since(3)
     assert steps is not None
     assert copy.apply_reply(FollowReply(None, None, True, 9, steps=steps))
@@ -100,8 +100,8 @@
 
 def test_number_of_kept_steps_is_bounded() -> None:
     """Send whole branches to an entry that lags too far."""
-    tree, copy = build()
+    tree, copy = build_tree_and_copy()
     for index in range(10, 12 + STEPS_KEPT):
-        change(tree, index, patches=patch("r1", route(f"/x{index}/")))
+        apply_change(tree, index, patches=patch("r1", route(f"/x{index}/")))
     assert tree.steps_since(copy.index) is None
     assert tree.steps_since(tree.index - 1) is not None
