--- a/packages/daemon/nutmegchute_daemon/disks.py
+++ b/packages/daemon/nutmegchute_daemon/disks.py
@@ -54,7 +54,7 @@
         os.ftruncate(self._handle(name), size)
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes durable."""
+        """Sync the bytes of a file, which makes them durable."""
         os.fsync(self._handle(name))
 
     def rename(self, old: str, new: str) -> None:
@@ -86,7 +86,7 @@
         (self._folder / name).unlink(missing_ok=True)
 
     def sync_folder(self) -> None:
-        """Make the files' names durable."""
+        """Sync the names of the files, which makes them durable."""
         handle = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/packages/daemon/nutmegchute_daemon/drains.py
+++ b/packages/daemon/nutmegchute_daemon/drains.py
@@ -1,4 +1,4 @@
-"""Let operators drain an entry without a login on its vm."""
+"""Serve the page that drains an entry, without a login on its vm."""
 
 from collections.abc import Callable
 
--- a/packages/daemon/nutmegchute_daemon/exchanges.py
+++ b/packages/daemon/nutmegchute_daemon/exchanges.py
@@ -355,7 +355,7 @@
         self._reset = False
 
     def reset(self) -> None:
-        """Make the close reach the caller as a reset, not as a clean end."""
+        """Set the socket to reset the connection when it is closed."""
         self._reset = True
         linger = struct.pack("ii", 1, 0)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
