--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -180,9 +180,9 @@
     def __init__(self, folder: Path, controls: int, routers: int) -> None:
         self._folder = folder
         # A random network, so that parallel runs rarely collide.
-        net = f"127.{random.randint(1, 250)}.{random.randint(0, 250)}"
-        self.controls = [f"{net}.{n}" for n in range(1, controls + 1)]
-        self.routers = [f"{net}.{n}" for n in range(101, 101 + routers)]
+        network = f"127.{random.randint(1, 250)}.{random.randint(0, 250)}"
+        self.controls = [f"{network}.{n}" for n in range(1, controls + 1)]
+        self.routers = [f"{network}.{n}" for n in range(101, 101 + routers)]
         self.seeds = self.controls[:3]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.starts: Counter[str] = Counter()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -155,16 +155,16 @@
     assert tree.apply(1, read_configuration(body, 0.0)).outcome == ACCEPTED
     paths = read_back(tree)["virtualHosts"][0]["paths"]
     assert paths == [ROUTE, photos]
-    loans, bundles = read_routes(tree.documents, 0.0)
-    assert not bundles.rule.idempotent
-    assert bundles.buffer_bytes > loans.buffer_bytes
+    loans, uploads = read_routes(tree.documents, 0.0)
+    assert not uploads.rule.idempotent
+    assert uploads.buffer_bytes > loans.buffer_bytes
 
 
 def test_unknown_kind_of_request_is_refused() -> None:
     """Refuse a route of an unknown kind."""
-    odd = {**ROUTE, "kind": "maybe"}
+    unknown_kind = {**ROUTE, "kind": "maybe"}
     body = encode_configuration(
-        virtualHosts=[{"hostname": "a.example", "paths": [odd]}]
+        virtualHosts=[{"hostname": "a.example", "paths": [unknown_kind]}]
     )
     with pytest.raises(DeclarationError):
         read_configuration(body, 0.0)
@@ -263,8 +263,8 @@
 
 def test_invalid_configuration_is_refused_by_the_tree() -> None:
     """Refuse an unknown service and a version lower than the current."""
-    lost = {**ROUTE, "service": "nowhere"}
-    hosts = [{"hostname": "a", "paths": [lost]}]
+    unknown_service = {**ROUTE, "service": "nowhere"}
+    hosts = [{"hostname": "a", "paths": [unknown_service]}]
     tree = Tree()
     answer = tree.apply(
         1, read_configuration(encode_configuration(virtualHosts=hosts), 0.0)
@@ -272,8 +272,11 @@
     assert answer.outcome == INVALID
     assert read_back(tree)["version"] == "r0"
     tree = tree_with_configuration()
-    back = encode_configuration(version="r6", baseVersion="r7")
-    assert tree.apply(2, read_configuration(back, 0.0)).outcome == INVALID
+    lower_version = encode_configuration(version="r6", baseVersion="r7")
+    assert (
+        tree.apply(2, read_configuration(lower_version, 0.0)).outcome
+        == INVALID
+    )
     update = encode_update(remove={"services": ["desk"]})
     assert tree.apply(3, read_update(update, 0.0)).outcome == INVALID
     assert read_back(tree)["version"] == "r7"
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -229,10 +229,10 @@
         answer = send_request(method, url, body)
         assert answer.status == status, url
         assert len(answer.json()["reason"].splitlines()) == 1
-    back = build_configuration(1, 1, LOAN)
-    assert site.post("/Config.Replace", back).status == 400
-    old = build_configuration(9, 0, LOAN)
-    assert site.post("/Config.Replace", old).status == 412
+    same_version = build_configuration(1, 1, LOAN)
+    assert site.post("/Config.Replace", same_version).status == 400
+    outdated_base = build_configuration(9, 0, LOAN)
+    assert site.post("/Config.Replace", outdated_base).status == 412
     url = f"http://{control}/Config.Read"
     assert send_request("GET", url).json()["version"] == "r1"
 
