--- a/packages/core/nutmegchute_core/balancers.py
+++ b/packages/core/nutmegchute_core/balancers.py
@@ -45,7 +45,7 @@
 
 ADMITTED = "admitted"
 QUEUED = "queued"
-# Bounds the retries and trials without an endpoint that one dispatch skips.
+# Retries and trials that one dispatch skips because no endpoint may run them.
 MAX_UNPLACED = 4
 CRASHES = "crashes the endpoints that run it"
 TOO_MANY_SUSPECTS = "too many suspects wait"
@@ -512,8 +512,8 @@
         call.step("retry")
         self._enqueue(pool, call)
         if pool.holds_calls:
-            # An entry with few calls may get no answer to another call that
-            # would release this one before its deadline.
+            # Query at once: held calls are sent after answers to other calls,
+            # and an entry with few calls may get none before the deadline.
             self._timers.add(now, REQUERY, call.call_id)
         return True
 
@@ -680,7 +680,7 @@
         return Refuse(call.call_id, reason, retry_after_s)
 
     def _is_suspect(self, call: Call, now: float) -> bool:
-        """Return whether the request may crash endpoints; it gets no hedge."""
+        """Return whether a call's request may crash endpoints."""
         if call.trial_token:
             return True
         return self._isolation.check(call, now).outcome != FREE
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -327,7 +327,7 @@
 
         If several endpoints of an availability zone stall and none there
         answers, the whole zone is suspect. Otherwise every entry would lose
-        a call at each of its endpoints.
+        a call at each endpoint of the zone.
         """
         if not self._policy.suspicion:
             return
--- a/packages/core/nutmegchute_core/peers.py
+++ b/packages/core/nutmegchute_core/peers.py
@@ -118,8 +118,8 @@
         self.reachable: frozenset[str] = frozenset()
         self.applied: int | None = None
         self.calls_per_s = 0.0
-        # Generation of its registry for which it awaits a confirmation, and
-        # the newest one for which it acknowledged one.
+        # Generation of its registry that it needs confirmed, and the newest
+        # one whose confirmation it has acknowledged.
         self.awaited_generation = 0
         self.confirmed_generation = 0
         # Generation of this replica's registry that its entries hold.
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -42,7 +42,8 @@
 # their objective in the worst two seconds, and 0.86 at 0.05 s.
 EMPTY_QUEUE_RETRY_S = 0.01
 # A caller that retries has used more than this of its deadline, for a round
-# trip and a new connection. A call waits less than this for a thread here.
+# trip and a new connection. The deadlines of first tries differ by less: by
+# the wait for a thread here.
 MIN_RETURN_S = 0.01
 # A lost attempt that took this share of its remaining time has timed out.
 TIMED_OUT_SHARE = 0.9
--- a/packages/core/nutmegchute_core/quarantines.py
+++ b/packages/core/nutmegchute_core/quarantines.py
@@ -394,7 +394,8 @@
         if not case.from_other_service:
             del self._cases[case.service, case.fingerprint]
             return
-        # Without a case, the next call would need a trial again.
+        # Deleted, the case would be opened again by the next call, which would
+        # need another trial.
         case.state = WATCHED
         case.since_s = self._time_s
         case.trial = 0
--- a/packages/core/nutmegchute_core/registries.py
+++ b/packages/core/nutmegchute_core/registries.py
@@ -21,7 +21,8 @@
 
 # How long endpoints restored at the start of this replica are kept. Each live
 # one announces itself within that time, and an entry that has just started is
-# not relied on yet, so that an endpoint which left meanwhile gets few calls.
+# not relied on yet, so an endpoint which left meanwhile gets calls only
+# briefly.
 RESTORED_TTL_S = 2.0
 
 # An endpoint whose announced cold time ends so much later than before has
--- a/packages/core/nutmegchute_core/suspects.py
+++ b/packages/core/nutmegchute_core/suspects.py
@@ -15,8 +15,8 @@
 from .quarantines import WAIT
 from .quarantines import WATCHED
 
-# Recently answered requests that are kept, for each entry. Frequent requests
-# are among them.
+# Requests answered most recently that an entry remembers; frequent ones are
+# among them.
 MAX_ANSWERED = 2048
 # How long an entry suspects a request on its own, until control reports the
 # case or that there is none.
@@ -70,8 +70,8 @@
         self._quarantined: set[str] = set()
         self._local_cases: OrderedDict[Key, LocalCase] = OrderedDict()
         self._answered: OrderedDict[Key, None] = OrderedDict()
-        # When a request crashed that had been answered before; such a crash
-        # does not make it a suspect here.
+        # Time of a crash by a request that had been answered before. That
+        # crash alone does not make the request a suspect here.
         self._answered_crashes: OrderedDict[Key, float] = OrderedDict()
         self._reports: list[Report] = []
         self._index = 0
--- a/packages/core/nutmegchute_core/voters.py
+++ b/packages/core/nutmegchute_core/voters.py
@@ -12,7 +12,8 @@
 # Five heartbeats without a reply. Replacing a voter by mistake costs two log
 # entries; one that was only slow stays a learner and can be promoted again.
 VOTER_TIMEOUT_S = 1.0
-# Three voters tolerate the loss of one, two tolerate none.
+# A group is not reduced below this: three voters tolerate the loss of one, two
+# tolerate none.
 MIN_VOTERS = 3
 
 
--- a/tests/test_replacements.py
+++ b/tests/test_replacements.py
@@ -102,10 +102,10 @@
     """A stopped replica that was replaced must not remain a voter.
 
     The new replica joins while the old one still runs, and the old one then
-    stops for good, but remained a voter. When a disk and all power were lost,
-    one of four voters was gone, one had lost its log, and two are no
-    majority: callers saw every request refused for ever, and operators could
-    not read the configuration.
+    stops for good. If it kept its vote and a disk and all power were lost,
+    one of four voters would be gone, one would have lost its log, and the
+    other two are no majority: every request would be refused for ever, and
+    operators could not read the configuration.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
@@ -126,8 +126,9 @@
     """The leader changes before a replaced replica counts as silent.
 
     Each new leader measures the silence from its own election on, so a
-    replaced replica was still a voter 22 seconds after it had stopped. A lost
-    disk and a power loss then have the effect described above.
+    replaced replica was still a voter 22 seconds after it had stopped. With a
+    lost disk and a power loss in that time, the group would never have a
+    majority again.
     """
     cluster = SimulatedCluster(3, entries=0, seed=seed, auto_membership=True)
     assert cluster.run_until(lambda: is_ready(cluster), 5.0)
