--- a/packages/core/nutmegchute_core/budgets.py
+++ b/packages/core/nutmegchute_core/budgets.py
@@ -4,11 +4,11 @@
 EXTRA_BURST = 10.0
 EXTRA_START = 3.0
 HEDGE_RESERVE = 2.0
-# Share of the burst that retries of callers' first tries leave to callers that
-# are retrying already. With every endpoint shedding 45 of 100 calls, 0.93 of
-# the calls meet their objective in the worst two seconds and 0.986 are served;
-# without the reserve, 0.90 and 0.972. A share of 0.8 loses 0.04 with half of
-# the endpoints unreachable.
+# Share of the burst that is reserved for calls whose callers are retrying
+# already. With every endpoint shedding 45 of 100 calls, 0.93 of the calls meet
+# their objective in the worst two seconds and 0.986 are served; without the
+# reserve, 0.90 and 0.972. A share of 0.8 loses 0.04 with half of the endpoints
+# unreachable.
 FIRST_TRY_RESERVE = 0.5
 
 # Part of a service's fixed extra sends that is divided among the entries; the
--- a/packages/core/nutmegchute_core/choosers.py
+++ b/packages/core/nutmegchute_core/choosers.py
@@ -47,7 +47,7 @@
 # An endpoint's latency counts only above this multiple of the mean. Below, it
 # reflects the mix of calls, and queueing that the load reports show already.
 LATENCY_BAND = 1.25
-# No endpoint counts as ejected while more than this share of the pool is.
+# Ejections are ignored while more than this share of the pool is ejected.
 MAX_EJECTED_SHARE = 0.5
 # Calls that may queue at an endpoint, as a share of its slots, before the
 # entry queues calls itself. Too few leave slots idle between two calls; too
--- a/packages/core/nutmegchute_core/effects.py
+++ b/packages/core/nutmegchute_core/effects.py
@@ -7,12 +7,12 @@
 
 
 class Effects:
-    """Hold the effects, which must be carried out in this order.
+    """Hold what to store, send and apply; storing comes first.
 
-    First make ``hard_state``, ``snapshot`` and ``entries`` durable, then send
-    ``messages``, then restore ``snapshot`` and apply ``committed``. Stored
-    entries from the index of the first of ``entries`` on are replaced; a
-    ``snapshot`` replaces the whole log.
+    Make ``hard_state``, ``snapshot`` and ``entries`` durable before sending
+    ``messages`` and before restoring ``snapshot``, then apply ``committed``.
+    Stored entries from the index of the first of ``entries`` on are
+    replaced; a ``snapshot`` replaces the whole log.
     """
 
     __slots__ = ("committed", "entries", "hard_state", "messages", "snapshot")
--- a/packages/core/nutmegchute_core/inquiries.py
+++ b/packages/core/nutmegchute_core/inquiries.py
@@ -34,7 +34,7 @@
 MAX_STRETCH = 1.5
 # Some endpoints slow down when nearly full; whether those of a service do is
 # estimated. Until MIN_ANSWERS answers are in, no slowdown is assumed: if
-# calls avoided such endpoints, no answer could show that there is none. The
+# calls avoided nearly full endpoints, no answer could show their speed. The
 # mean of four multiples is on the wrong side of MIN_SLOWDOWN in 4 of 100
 # cases without a slowdown and in 5 of 100 at a factor of 1.7 (log-normal
 # service times, sigma 0.3). An estimate that is wrong decays.
--- a/packages/core/nutmegchute_core/pools.py
+++ b/packages/core/nutmegchute_core/pools.py
@@ -44,7 +44,7 @@
 # A caller that retries has used more than this of its deadline, for a round
 # trip and a new connection. The deadlines of first tries differ by less: by
 # the wait for a thread here.
-MIN_RETURN_S = 0.01
+MIN_RETRY_ELAPSED_S = 0.01
 # A lost attempt that took this share of its remaining time has timed out.
 TIMED_OUT_SHARE = 0.9
 # Retry-After of a call that is shed while others wait: soon enough to meet
@@ -240,7 +240,7 @@
         rule_latency.deadline_s = max(rule_latency.deadline_s, deadline_s)
         used_s = rule_latency.deadline_s - deadline_s
         call.objective_at -= used_s
-        call.is_first_try = used_s < MIN_RETURN_S
+        call.is_first_try = used_s < MIN_RETRY_ELAPSED_S
 
     def late_at(self, call: Call) -> float:
         """Return the latest send time to meet the objective."""
--- a/tests/test_inquiries.py
+++ b/tests/test_inquiries.py
@@ -279,8 +279,8 @@
 def test_call_is_not_held_where_no_query_is_allowed() -> None:
     """Send a call by old reports where no query is allowed.
 
-    The call cannot find a free slot by a query, and it may take long until
-    the answer to another call shows one.
+    The call cannot find a free slot by a query. If it were held, it could
+    wait long until the answer to another call shows one.
     """
     balancer = build_balancer()
     balancer.limit_inquiries(0.0, 0.5)
