--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure; nothing here decides whether a build passes."""
+"""Measure costs and strategies; no result decides on a build."""
--- a/benchmarks/announcers.py
+++ b/benchmarks/announcers.py
@@ -53,7 +53,7 @@
         return self._max_lateness_s
 
     def stop(self, signal_number: int, frame: FrameType | None) -> None:
-        """Stop after the current announcement; handles a signal."""
+        """Handle a signal: stop after the current announcement."""
         self._running = False
 
     def run(self, numbers: range) -> None:
--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -9,8 +9,8 @@
 
 The entry runs in its own process, with the default number of threads and with
 routes for large bodies. The upstream runs in this process and reads each body
-to its end. Printed is the maximum resident memory of the entry's process,
-before and after the calls.
+to its end. Prints the maximum resident memory of the entry's process, before
+and after the calls.
 """
 
 import multiprocessing
@@ -36,7 +36,11 @@
 
 
 def run_entry(upstream: str, body_bytes: int, pipe: Connection) -> None:
-    """Run an entry until "stop"; send its address, then its memory in MiB."""
+    """Run an entry until "stop" is received.
+
+    Send its address first and, for each other message, the maximum resident
+    memory so far, in MiB.
+    """
     server = CallServer(
         [upstream], threads=THREADS, slots=SLOTS, deadline_ms=DEADLINE_MS
     )
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -57,7 +57,7 @@
 SETTLE_S = 2.0
 
 
-def document(number: int, services: int = 1, prefix: str = "s") -> Any:
+def build_document(number: int, services: int = 1, prefix: str = "s") -> Any:
     """Build a team's document; ``number`` varies the content."""
     rule = {
         "name": "lookup",
@@ -171,7 +171,7 @@
         self.failover_s = 0.0
 
     def run(self) -> None:
-        """Run the measurements and stop the group in any case."""
+        """Run the measurements; stop the group even after an error."""
         (self._folder / "group").mkdir()
         try:
             self._cluster.start(controls=3, entries=0)
@@ -192,7 +192,7 @@
 
     def _change_plan(self, team: int, number: int) -> int:
         name = f"plan-{team}"
-        return self._change(name, document(number, TEAM_SERVICES, name))
+        return self._change(name, build_document(number, TEAM_SERVICES, name))
 
     def _leader(self) -> Process:
         found: Process = self._cluster.wait_for(
@@ -242,15 +242,15 @@
                     f"memory {cost.memory_mb:.0f} MB"
                 )
             if followers == FOLLOWER_COUNTS[0] and pace == "idle":
-                worst = costs.values()
-                self.idle_percent = max(one.cpu_percent for one in worst)
-                self.idle_bps = max(one.wire_bps for one in worst)
+                values = costs.values()
+                self.idle_percent = max(one.cpu_percent for one in values)
+                self.idle_bps = max(one.wire_bps for one in values)
 
     def _measure_in_force(self) -> None:
         leader = self._leader()
         durations_s = []
         for number in range(IN_FORCE_CHANGES):
-            body = document(number, TEAM_SERVICES, "plan-1")
+            body = build_document(number, TEAM_SERVICES, "plan-1")
             started = time.perf_counter()
             index = self._operators.change(leader, "plan-1", body)
             while not self._operators.is_in_force(leader, index):
@@ -268,7 +268,7 @@
         def write(team: str) -> list[float]:
             durations_s: list[float] = []
             while time.perf_counter() < end:
-                body = document(len(durations_s), 1, f"{team}-")
+                body = build_document(len(durations_s), 1, f"{team}-")
                 started = time.perf_counter()
                 self._operators.change(leader, team, body)
                 durations_s.append(time.perf_counter() - started)
@@ -315,7 +315,7 @@
             return False
         try:
             self._operators.change(
-                leader, "failover", document(number, 1, "f")
+                leader, "failover", build_document(number, 1, "f")
             )
         except HTTPError:
             return False
@@ -346,7 +346,7 @@
                 change_id=f"change-{number}",
                 operator="operator",
                 bases={"plan": number},
-                documents={"plan": document(number, SERVICES, "plan")},
+                documents={"plan": build_document(number, SERVICES, "plan")},
                 at_unix_s=0.0,
                 checked=True,
             )
@@ -380,10 +380,9 @@
 
 def _print_percentiles(name: str, durations_s: list[float]) -> None:
     ordered = sorted(durations_s)
-    last = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
+    p99 = ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
     print(
-        f"{name}: p50 {1000 * median(ordered):.1f} ms, "
-        f"p99 {1000 * last:.1f} ms"
+        f"{name}: p50 {1000 * median(ordered):.1f} ms, p99 {1000 * p99:.1f} ms"
     )
 
 
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -19,7 +19,7 @@
 
 
 class Cost:
-    """Hold the cost of one process in a period."""
+    """Hold the cost of one process in a period; bps is bytes per second."""
 
     __slots__ = ("cpu_percent", "memory_mb", "received_bps", "sent_bps")
 
@@ -37,14 +37,17 @@
 
     @property
     def wire_bps(self) -> float:
-        """Return bytes per second, sent and received."""
+        """Return the bytes per second, sent and received together."""
         return self.sent_bps + self.received_bps
 
 
 def measure(
     processes: list[Process], ports: set[int], seconds: float
 ) -> dict[str, Cost]:
-    """Return the cost of processes; count bytes on the given ports only."""
+    """Return the cost of each process, by name, over some seconds.
+
+    Bytes are those of connections from or to the given ports.
+    """
     start = time.monotonic()
     before = {one.name: _cpu_s(one.pid) for one in processes}
     wire_before = _wire_bytes(ports)
@@ -77,7 +80,10 @@
 
 
 def _cpu_s(pid: int) -> float:
-    """Return the run time of all threads, finer than /proc/PID/stat."""
+    """Return the processor time of all threads, in seconds.
+
+    schedstat counts nanoseconds; /proc/PID/stat only has clock ticks.
+    """
     run_ns = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         run_ns += int((task / "schedstat").read_text().split()[0])
@@ -89,7 +95,7 @@
 
 
 def _wire_bytes(ports: set[int]) -> dict[int, tuple[int, int]]:
-    """Return bytes sent and received by process id, headers included."""
+    """Return the bytes sent and received, with headers, by process id."""
     command = ["ss", "-tinpHO", "state", "established"]
     text = subprocess.run(command, capture_output=True, text=True).stdout
     found: dict[int, tuple[int, int]] = {}
--- a/benchmarks/lines.py
+++ b/benchmarks/lines.py
@@ -7,8 +7,8 @@
   --count=N  Lines per run [default: 20000].
 
 Logs the line of a call with two attempts as an entry does, to a sink that
-writes to /dev/null. Printed is the least processor time of five runs, all
-threads included. ``off`` is the same call at a level that is not logged.
+writes to /dev/null. Prints the least processor time of five runs, all threads
+included. ``off`` is the same call at a level that is not logged.
 """
 
 import os
--- a/benchmarks/loads.py
+++ b/benchmarks/loads.py
@@ -1,7 +1,8 @@
-"""Generate load from one asyncio thread.
+"""Generate load from one asyncio thread, to add little to the latencies.
 
-A load generator with many threads contends for the interpreter lock: at
-300 calls per second this added over 3 ms to the p99 of a fake upstream.
+A load generator with many threads contends for its own interpreter lock: at
+300 calls per second this added over 3 ms to the p99 of a fake upstream that
+was called without an entry.
 """
 
 import asyncio
@@ -119,10 +120,10 @@
         )
         return float(sum(counts) / seconds)
 
-    async def _send(self, offered: float, free: asyncio.Semaphore) -> None:
+    async def _send(self, offered_at: float, free: asyncio.Semaphore) -> None:
         async with free:
             connection = self._idle.pop(0)
-            await self._exchange(connection, offered)
+            await self._exchange(connection, offered_at)
             self._idle.append(connection)
 
     async def _run_closed_loop(
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -6,7 +6,7 @@
 Options:
   --entries=N       Entry processes [default: 16].
   --seconds=S       Seconds measured per size [default: 8].
-  --endpoints=LIST  Numbers of endpoints, by commas [default: 0,18,150,730].
+  --endpoints=LIST  Endpoint counts, comma-separated [default: 0,18,150,730].
 
 Every endpoint announces itself once a second, each to one entry. The kernel
 counts the bytes of the TCP connections between entries; 52 bytes of headers
@@ -40,7 +40,7 @@
 
 
 class Meter:
-    """Read an entry's bytes and processor time."""
+    """Read an entry's network bytes, processor time and memory."""
 
     def __init__(self, process: Process, ports: set[str]) -> None:
         self._process = process
@@ -101,7 +101,7 @@
             # A new connection each round, as entries close idle ones.
             reader, writer = await asyncio.open_connection(host, int(port))
             for number in range(index, self.count, len(self._entries)):
-                writer.write(_request(number))
+                writer.write(_build_request(number))
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = re.search(rb"(?i)content-length: (\d+)", head)
                 assert length is not None and b" 200 " in head, head
@@ -111,7 +111,7 @@
             await asyncio.sleep(max(0.0, wait_s))
 
 
-def _request(number: int) -> bytes:
+def _build_request(number: int) -> bytes:
     body = msgspec.json.encode(
         {
             "service": "prestamos" if number % 2 else "catalogo",
@@ -165,8 +165,8 @@
 def main() -> int:
     """Measure all sizes.
 
-    Return 1 if an entry misses endpoints or the entries' mean rate reaches
-    MAX_BYTES_PER_S.
+    Return 1 if the last entry lists a wrong number of endpoints or the
+    entries' mean rate reaches MAX_BYTES_PER_S.
     """
     arguments = docopt(__doc__)
     sizes = [int(size) for size in arguments["--endpoints"].split(",")]
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -6,8 +6,8 @@
 Options:
   --seconds=S  Seconds per rate [default: 6].
   --callers=N  Caller connections [default: 32].
-  --rates=LIST  Calls per second, by commas [default: 100,300,600].
-  --cpus=LIST   Processors to pin the entry to, by commas; else all.
+  --rates=LIST  Calls per second, comma-separated [default: 100,300,600].
+  --cpus=LIST   Processors to pin the entry to, comma-separated; else all.
 
 Measurements of the fake upstreams alone and of the path through the entry
 alternate every half second, so that a noisy neighbour affects both alike.
@@ -67,7 +67,9 @@
     return added[0], added[1]
 
 
-async def ceiling(addresses: list[str], path: str, callers: int) -> float:
+async def measure_ceiling(
+    addresses: list[str], path: str, callers: int
+) -> float:
     """Return the calls per second that closed-loop callers reach."""
     generator = LoadGenerator(addresses, build_request(path), callers)
     rate = await generator.run_closed_loop(CEILING_S)
@@ -84,11 +86,11 @@
     for _ in range(UPSTREAMS):
         cluster.add_upstream("catalogo", service_ms=0)
 
-    def complete() -> bool:
+    def is_complete() -> bool:
         status = cluster.fetch(entry)
         return status is not None and len(status["upstreams"]) == UPSTREAMS
 
-    cluster.wait_for("the upstreams", complete)
+    cluster.wait_for("the upstreams", is_complete)
     return entry
 
 
@@ -110,9 +112,11 @@
                 _, p99[rate] = asyncio.run(
                     measure(entry, upstreams, rate, seconds, callers)
                 )
-            alone_rate = asyncio.run(ceiling(upstreams, "/shelf", callers))
+            alone_rate = asyncio.run(
+                measure_ceiling(upstreams, "/shelf", callers)
+            )
             max_rate = asyncio.run(
-                ceiling([entry], "/call/catalogo/shelf", callers)
+                measure_ceiling([entry], "/call/catalogo/shelf", callers)
             )
         finally:
             cluster.stop()
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -68,8 +68,8 @@
 GRACE_S = 4.0
 SETTLE_S = 2.0
 EVENT_AT_S = 5.0
-# A restarted endpoint is cold: how long, how much slower, and the declared
-# calls per second.
+# For COLD_S after a restart an endpoint is COLD_FACTOR times slower; its
+# service declares a warm-up rate of WARM_UP_PER_S calls per second.
 COLD_S = 3.0
 COLD_FACTOR = 2.0
 WARM_UP_PER_S = 6.1
@@ -178,8 +178,8 @@
 )
 
 
-# Over a hundred entries, endpoints with four slots, as of a service where half
-# of the calls are loans.
+# Over a hundred entries and endpoints with four slots, modelled on a service
+# where half of the calls are loans.
 FOUR_SLOTS = Deployment(
     entries=(45, 48, 42),
     callers=(0.35, 0.35, 0.3),
@@ -217,11 +217,11 @@
         return NOISY_FACTOR if noisy else 1.0
 
     def cold_slowdown(self, now: float) -> float:
-        """Return the stretch that a recent restart causes now."""
+        """Return the slowdown that a recent restart causes now."""
         return COLD_FACTOR if now < self.cold_until else 1.0
 
     def slowdown(self, now: float) -> float:
-        """Return the stretch of a job that starts now."""
+        """Return the slowdown of a job that starts now, from all causes."""
         last = self.busy + 1 >= self.slots
         factor = self.stretch(now) * (LAST_SLOT_FACTOR if last else 1.0)
         return factor * self.cold_slowdown(now)
@@ -263,7 +263,7 @@
         self._is_oracle = is_oracle
         self._deployment = deployment
         self._reports_load = reports_load
-        self._rule = _rule(deployment)
+        self._rule = _build_rule(deployment)
         self._callers_by_arrival: dict[Arrival, Caller] = {}
         self.callers: list[Caller] = []
         self.cross_zone_calls = 0
@@ -384,7 +384,7 @@
         if self._is_oracle:
             return
         caller.tries += 1
-        # The retry opens a new connection, which takes a round trip.
+        # One way for the answer, two to open a new connection, one to retry.
         at = self.now + 4 * deployment.one_way_s + action.retry_after_s
         if at + deployment.work_s < caller.first_at + deployment.deadline_s:
             self._schedule_try(at, entry, caller)
@@ -393,8 +393,8 @@
 class Pattern:
     """Define a load and the faults injected into the endpoints.
 
-    With ``outage_s`` callers have waited that long for a system without
-    power. Their calls arrive all at once, at entries without any data.
+    With ``outage_s``, callers have waited that long for a system without
+    power. Their calls arrive all at once, at entries that have no data yet.
     ``reports_load`` says whether answers report the load and the stretch.
     """
 
@@ -427,7 +427,7 @@
         self.outage_s = outage_s
 
 
-def _rule(deployment: Deployment) -> Rule:
+def _build_rule(deployment: Deployment) -> Rule:
     document = {
         "host": "h",
         "path_prefix": "/",
@@ -621,16 +621,16 @@
         balancer.configure({SERVICE: Service(SERVICE, document)}, 0.0)
         limit = ExtraLimit(EXTRA_RATIO, EXTRA_FIXED)
         balancer.limit_extra_sends(limit.share, limit.burst(len(weights)))
-        shares = ProbeShare()
-        shares.reported = weights[entry]
-        shares.set_total(1.0, len(weights))
-        balancer.limit_inquiries(PROBES_PER_S, shares.share(len(weights)))
+        probe_share = ProbeShare()
+        probe_share.reported = weights[entry]
+        probe_share.set_total(1.0, len(weights))
+        balancer.limit_inquiries(PROBES_PER_S, probe_share.share(len(weights)))
         balancers.append(balancer)
     return balancers
 
 
 def run(pattern: Pattern, strategy: str, seed: int) -> tuple[float, ...]:
-    """Simulate a pattern once and return its figures."""
+    """Simulate a pattern once; return its figures in printed order."""
     random = Random(seed)
     endpoints = []
     for zone, count in zip(ZONES, pattern.endpoints_per_zone, strict=False):
@@ -673,7 +673,7 @@
         now += random.expovariate(peak)
         if random.random() * peak > pattern.per_s(now):
             continue
-        # Callers without a connection retry within 0.1 s of the start.
+        # Callers that could not connect retry within 0.1 s of the start.
         at = now if now > 0 else random.random() * 0.1
         entry = random.choices(range(len(weights)), weights)[0]
         simulation.add_caller(at, entry, now)
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -114,7 +114,7 @@
         return ordered[int(len(ordered) * percent / 100)] * 1000
 
     @property
-    def mean_cost(self) -> float:
+    def mean_probe_cost(self) -> float:
         """Return the share of slot time used by probes."""
         return self.probe_cost / self.runs
 
@@ -149,7 +149,9 @@
         elif task.strategy == POLICY:
             policy = Policy(task.disabled) if task.disabled else Policy()
             balancer = Balancer(seed, zone, policy)
-            document = {"services": {profile.service: profile.document()}}
+            document = {
+                "services": {profile.service: profile.build_document()}
+            }
             balancer.configure(read_services({"team": document}), 0.0)
             balancers.append(balancer)
         else:
@@ -164,14 +166,14 @@
     balancers = build_balancers(task, profile)
     zones = [profile.zones[entry % 3] for entry in range(ENTRIES)]
     simulation = Simulation(
-        profile.service, balancers, zones, profile.endpoints(), task.seed
+        profile.service, balancers, zones, profile.build_endpoints(), task.seed
     )
     first = balancers[0]
     if isinstance(first, OracleEntry):
         first.oracle.attach(simulation)
     injector = FaultInjector(profile, simulation, Random(task.seed + 77))
     scenario.start(injector)
-    arrivals = scenario.arrivals(profile, task.seed)
+    arrivals = scenario.draw_arrivals(profile, task.seed)
     simulation.run(arrivals, scenario.run_s + GRACE_S)
     return measure(simulation, scenario, profile)
 
@@ -252,7 +254,7 @@
         f"{100 * result.answered / result.calls:8.2f} "
         f"{result.goodput:8.3f} "
         f"{100 * result.extra_share:7.2f} "
-        f"{result.probe_peak:6.2f} {100 * result.mean_cost:6.2f}"
+        f"{result.probe_peak:6.2f} {100 * result.mean_probe_cost:6.2f}"
     )
 
 
@@ -317,7 +319,7 @@
 
 
 def ablate(seeds: int, processes: int, chosen: list[int]) -> None:
-    """Run the full policy and the policy with each mechanism off in turn."""
+    """Print what the policy loses with each mechanism off in turn."""
     names = ["", *Policy.__slots__]
     tasks = []
     for index in chosen:
@@ -351,19 +353,19 @@
             if scenario.name != OVERLOAD:
                 ratios.extend(values)
             parts.append(f"{geometric_mean(values):5.2f}")
-        extra_sends = max(
+        extra_share = max(
             totals[POLICY, org, n, disabled].extra_share
             for org in ORGANISATIONS
             for n in chosen
         )
-        background = min(
+        background_share = min(
             totals[POLICY, org, n, disabled].background_share
             for org in ORGANISATIONS
             for n in chosen
         )
         print(
             f"{disabled:10} {geometric_mean(ratios):6.3f} "
-            f"{100 * extra_sends:6.1f} {100 * background:6.1f} | "
+            f"{100 * extra_share:6.1f} {100 * background_share:6.1f} | "
             f"{' '.join(parts)}"
         )
 
--- a/benchmarks/policy_baselines.py
+++ b/benchmarks/policy_baselines.py
@@ -43,7 +43,7 @@
         caller_deadline_s: float | None = None,
         attempt: int = 1,
     ) -> tuple[int, list[Action]]:
-        """Admit a call."""
+        """Admit a call; return its id and the first actions."""
 
     def finish(self, result: Result, now: float) -> list[Action]:
         """Record the end of an attempt."""
@@ -141,7 +141,7 @@
         return [Refuse(result.call_id, "shed", 0.0)]
 
     def record_result(self, stats: EndpointStats, result: Result) -> None:
-        """Record what an attempt's result reports about its endpoint."""
+        """Record the load that an attempt's result reports."""
         if result.load is not None:
             stats.load = result.load
 
@@ -173,7 +173,7 @@
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Do nothing; baselines have no timers."""
+        """Do nothing; no timer is needed."""
         return []
 
     def next_wakeup(self) -> float | None:
--- a/benchmarks/policy_oracle.py
+++ b/benchmarks/policy_oracle.py
@@ -50,12 +50,12 @@
         self._queue: deque[QueuedCall] = deque()
 
     def attach(self, simulation: "Simulation") -> None:
-        """Read endpoint states from a simulation and dispatch in it."""
+        """Use a simulation's endpoints; dispatch when a slot becomes free."""
         self._simulation = simulation
         simulation.on_slot_free = self.dispatch
 
     def dispatch(self) -> None:
-        """Send queued calls while there are suitable free slots."""
+        """Send queued calls to suitable free slots; refuse late ones."""
         assert self._simulation is not None
         now = self._simulation.now
         while self._queue:
--- a/benchmarks/policy_scenarios.py
+++ b/benchmarks/policy_scenarios.py
@@ -61,15 +61,15 @@
 
     @property
     def probes_per_s(self) -> float:
-        """Return the probe budget of all entries, a share of capacity."""
+        """Return the probe budget of all entries, set by PROBE_LOAD_SHARE."""
         return self.count * self.slots * PROBE_LOAD_SHARE / PROBE_S
 
-    def document(self) -> dict[str, Any]:
+    def build_document(self) -> dict[str, Any]:
         """Build the declaration of the service."""
         rules = [
-            _rule("action", ACTION, False, "action"),
-            _rule("sync", BACKGROUND, True, "background"),
-            _rule("lookup", LOOKUP, True, "interactive"),
+            _build_rule("action", ACTION, False, "action"),
+            _build_rule("sync", BACKGROUND, True, "background"),
+            _build_rule("lookup", LOOKUP, True, "interactive"),
         ]
         return {
             "slots": self.slots,
@@ -79,7 +79,7 @@
             "rules": rules,
         }
 
-    def endpoints(self) -> list[Endpoint]:
+    def build_endpoints(self) -> list[Endpoint]:
         """Build the endpoints, spread evenly over the zones."""
         return [
             Endpoint(f"{number}:1", self.zones[number % 3], self.slots)
@@ -87,7 +87,7 @@
         ]
 
 
-def _rule(
+def _build_rule(
     name: str, method: str, idempotent: bool, priority: str
 ) -> dict[str, Any]:
     return {
@@ -141,7 +141,7 @@
         self._incarnations = dict.fromkeys(simulation.endpoints, 1)
 
     def sample(self, share: float) -> list[Endpoint]:
-        """Pick a random share of the endpoints."""
+        """Draw a random share of the endpoints."""
         endpoints = list(self.simulation.endpoints.values())
         return self.random.sample(endpoints, round(len(endpoints) * share))
 
@@ -215,7 +215,9 @@
         if self._inject_faults is not None:
             self._inject_faults(injector)
 
-    def arrivals(self, profile: ServiceProfile, seed: int) -> list[Arrival]:
+    def draw_arrivals(
+        self, profile: ServiceProfile, seed: int
+    ) -> list[Arrival]:
         """Draw the calls, the same for every strategy."""
         random = Random(seed)
         arrivals: list[Arrival] = []
--- a/benchmarks/policy_upstreams.py
+++ b/benchmarks/policy_upstreams.py
@@ -105,7 +105,7 @@
         self.load_history: deque[tuple[float, int]] = deque([(0.0, 0)])
 
     def slowdown(self, now: float) -> float:
-        """Return the service time as a multiple of the usual."""
+        """Return the present service time as a multiple of the usual."""
         factor = 1.0
         for start, end, slowdown in self.slow_spans:
             if start <= now < end:
@@ -134,11 +134,11 @@
         return at + left_s
 
     def stretch(self, now: float) -> float | None:
-        """Return the stretch to report, if any."""
+        """Return None: these endpoints report no stretch."""
         return None
 
     def load(self, now: float) -> int:
-        """Return the load to report; it is wrong unless ACCURATE."""
+        """Return the load to report, wrong unless the mode is ACCURATE."""
         actual = self.busy + len(self.queue)
         if self.report_mode == STUCK:
             return STUCK_LOAD
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -9,7 +9,7 @@
 
 Runs real daemons on loopback; each slope has at least three points. The
 kernel counts the processor time of each process and the bytes of each
-connection between daemons, headers included.
+connection between daemons; 52 bytes of headers are added for each segment.
 """
 
 import contextlib
@@ -115,7 +115,7 @@
     def start(self, entries: int) -> None:
         """Start control and entries and declare all services."""
         self.cluster.start(CONTROLS, entries, entries_keep_s=0.1)
-        self.change({"sizing": declaration(0)})
+        self.change({"sizing": build_declaration(0)})
         for entry in self.cluster.entries:
             self.cluster.wait_for(
                 f"{entry.name} to follow",
@@ -188,7 +188,7 @@
         return max_lateness_s
 
 
-def declaration(revision: int) -> dict[str, Any]:
+def build_declaration(revision: int) -> dict[str, Any]:
     """Build one team's document with all services, eight rules each."""
     services = {}
     for service in range(SERVICES):
@@ -227,7 +227,7 @@
 
 
 def measure_full_size(slopes: Slopes, folder: Path, seconds: float) -> None:
-    """Measure endpoints and changes at the highest number of entries."""
+    """Measure changes and endpoints at the highest number of entries."""
     max_entries = ENTRY_COUNTS[-1]
     with _deploy(folder / "full", seconds, max_entries) as deployment:
         _add_point(slopes, "per entry", max_entries, deployment)
@@ -241,7 +241,7 @@
 
 
 def measure_callers(slopes: Slopes, folder: Path, seconds: float) -> None:
-    """Measure caller connections, calls and keyed calls at one entry."""
+    """Measure at several numbers of connections, calls and keyed calls."""
     with _deploy(folder / "callers", seconds, 1) as deployment:
         entry = deployment.cluster.entries[0]
         for callers in CONNECTION_COUNTS:
@@ -302,7 +302,7 @@
         tracemalloc.start()
         tree = Tree()
         for revision in range(changes):
-            service = declaration(revision)["services"]["service-0"]
+            service = build_declaration(revision)["services"]["service-0"]
             change = Change(
                 change_id=f"change-{revision}",
                 operator="operator",
@@ -334,16 +334,18 @@
         stopped.set()
         thread.join()
     started = time.monotonic()
-    index = deployment.change({"sizing": declaration(999)})["index"]
+    index = deployment.change({"sizing": build_declaration(999)})["index"]
     deployment.cluster.wait_for(
-        "the change in force", lambda: _in_force(deployment, index)
+        "the change in force", lambda: _is_in_force(deployment, index)
     )
     elapsed_s = time.monotonic() - started
     print(f"one change in force everywhere after {elapsed_s:.2f} s")
-    print(f"tree {len(msgspec.json.encode(declaration(0))) / 1000:.1f} KB")
+    print(
+        f"tree {len(msgspec.json.encode(build_declaration(0))) / 1000:.1f} KB"
+    )
 
 
-def _in_force(deployment: Deployment, index: int) -> bool:
+def _is_in_force(deployment: Deployment, index: int) -> bool:
     status = deployment.cluster.fetch(deployment.leader)
     assert status is not None
     return bool(status["index"] >= index and status["in_force"])
@@ -355,7 +357,7 @@
     revision = 0
     while not stopped.wait(1 / rate):
         revision += 1
-        deployment.change({"sizing": declaration(revision)})
+        deployment.change({"sizing": build_declaration(revision)})
 
 
 @contextlib.contextmanager
@@ -413,7 +415,7 @@
 
 
 def main() -> int:
-    """Measure every slope and print the lines."""
+    """Measure all points and print the fitted slopes."""
     arguments = docopt(__doc__)
     seconds = float(arguments["--seconds"])
     slopes = Slopes()
